--- a/apps/box/src/crashingRequests.test.ts
+++ b/apps/box/src/crashingRequests.test.ts
@@ -13,7 +13,7 @@
 import {
   ARRIVALS_ALLOWED,
   COUNTED_TRIES,
-  MOST_ENDS,
+  MAX_ENDS,
   startCrashSite,
   type CrashCase,
 } from "./crashingRequests.testkit.js";
@@ -45,7 +45,7 @@
       await startCrashSite(crashCase);
     await sendUntilKnown();
     // Three that count, and tries that were under way when the third end was heard of.
-    expect(servers.countEnds()).toBeLessThanOrEqual(MOST_ENDS);
+    expect(servers.countEnds()).toBeLessThanOrEqual(MAX_ENDS);
     const { arrivals, served, crashing } = await countTries(fleet);
     expect(arrivals).toBeLessThanOrEqual(ARRIVALS_ALLOWED);
     expect(served).toBe(COUNTED_TRIES);
--- a/apps/box/src/crashingRequests.testkit.ts
+++ b/apps/box/src/crashingRequests.testkit.ts
@@ -18,7 +18,7 @@
 export const ARRIVALS_ALLOWED = 3;
 
 /** Three ends, and those of tries that were at servers when the third was heard of: the time from 30 ms to the end, at 100 ms a try. */
-export const MOST_ENDS = 6;
+export const MAX_ENDS = 6;
 
 /** Time between two tries, each at another box, and tries that are counted. */
 const TRY_PAUSE_MS = 100;
--- a/apps/box/src/createBox.ts
+++ b/apps/box/src/createBox.ts
@@ -48,7 +48,7 @@
 import { createMoves } from "./createMoves.js";
 import { createPeers } from "./createPeers.js";
 import { createReports } from "./createReports.js";
-import { createSigns } from "./createSigns.js";
+import { createSignals } from "./createSignals.js";
 import { createSinks } from "./createSinks.js";
 import { observeForwarding } from "./observers.js";
 import { createMetricsServer, createReadyServer, listenOn } from "./smallServers.js";
@@ -177,7 +177,7 @@
     peers,
     getDirectory: () => directory,
   });
-  const signs = createSigns({
+  const signs = createSignals({
     clock,
     random,
     log,
@@ -270,7 +270,7 @@
       ),
     isAlive: async (server) => (await reports.ask(server)) !== undefined,
     onBroken: (server) => {
-      teller.tellBroken(server);
+      teller.reportBroken(server);
       log.writeDecision("server_broke_off", { server });
     },
   });
@@ -351,7 +351,7 @@
   });
 
   const isReady = () => {
-    const standing = configuration.getStanding();
+    const standing = configuration.getServerStatus();
     return stopped === undefined && (standing === "current" || standing === "ageing");
   };
   const readyServer = createReadyServer(isReady);
--- a/apps/box/src/createCrashes.ts
+++ b/apps/box/src/createCrashes.ts
@@ -50,8 +50,8 @@
   const guard: RequestGuard = createRequestGuard({
     clock,
     limits: { blockingEnds, memory: (memorySeconds * MS_PER_S) as Ms },
-    onOwnNews: peers.teller.takeCrashes,
-    onSharedNews: (crashes) => peers.passOn({ crashes }),
+    onOwnUpdate: peers.teller.takeCrashes,
+    onSharedUpdate: (crashes) => peers.passOn({ crashes }),
     onBlocked: takeBlocked,
     onReleased: (digest, isOwn) => {
       log.writeNotice("request_released", { digest, servedHere: isOwn });
--- a/apps/box/src/createDirectory.ts
+++ b/apps/box/src/createDirectory.ts
@@ -12,7 +12,7 @@
 import type { RunMover } from "@stairgauge/migration";
 import { makeNotice, type PeerServer, type RunTeller } from "@stairgauge/peers";
 import type { LoadBook } from "@stairgauge/placement";
-import type { ServerRests } from "@stairgauge/rests";
+import type { ServerRests } from "@stairgauge/backoffs";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 import type { ColdServers } from "./createColdServers.js";
 import type { Peers } from "./createPeers.js";
@@ -29,7 +29,7 @@
   rests: Pick<ServerRests, "forget">;
   peers: Pick<Peers, "passOn"> &
     Readonly<{
-      teller: Pick<RunTeller, "tellLeaving" | "tellOwnWord">;
+      teller: Pick<RunTeller, "reportLeaving" | "reportAnnouncedLeaving">;
       peerServer: Pick<PeerServer, "notify">;
     }>;
   isPlacedByHubs: (service: ServiceName) => boolean;
@@ -49,11 +49,11 @@
   const tellLeaving = (server: BackendServer, reason: LeavingReason) => {
     const told = toToldLeaving(server, reason);
     if (told.basis === "own_word" && !isPlacedByHubs(server.entry.service)) {
-      teller.tellOwnWord(told);
+      teller.reportAnnouncedLeaving(told);
       passOn({ leaving: [told] });
       return;
     }
-    teller.tellLeaving(told);
+    teller.reportLeaving(told);
     const boxes = book.listPeersAt(server.entry.id) as BoxName[];
     peerServer.notify(boxes, makeNotice({ leaving: [told] }));
   };
--- a/apps/box/src/createKnowledge.ts
+++ b/apps/box/src/createKnowledge.ts
@@ -7,7 +7,7 @@
   type PeerLinks,
   type TableAnswer,
   type TableQuestion,
-  type ToldUnsettled,
+  type SharedUnsettledRows,
 } from "@stairgauge/peers";
 import { BLOCKED_TABLE, BOX_TABLE, createStoreReader, TABLE } from "@stairgauge/platform";
 import type { BoxSettings } from "@stairgauge/settings";
@@ -51,7 +51,7 @@
   links: Pick<PeerLinks, "ask" | "listUp" | "listReachable" | "countBoxes" | "renew">;
   tables: KnowledgeTables;
   /** A table has been read whole since the store came back from a copy; these of its rows count against the store's word. */
-  onRestored: (told: ToldUnsettled) => void;
+  onRestored: (told: SharedUnsettledRows) => void;
 }>;
 
 /** The followed tables of one box. */
@@ -64,9 +64,9 @@
   /** Answers another box by what this one knows. */
   answer: (question: TableQuestion) => Promise<TableAnswer>;
   /** What this box knows beyond the copy that the store has come back from; nothing most of the time. */
-  listUnsettled: () => readonly ToldUnsettled[];
+  listUnsettled: () => readonly SharedUnsettledRows[];
   /** Takes what another box knows beyond it. */
-  takeUnsettled: (told: readonly ToldUnsettled[]) => void;
+  takeUnsettled: (told: readonly SharedUnsettledRows[]) => void;
 }>;
 
 /**
@@ -82,7 +82,7 @@
 const RELAYED_WAITS = 1.5;
 
 /** Knowledge handed on is at most two waits old while its box hears the store; beyond it the box has lost the store. */
-const MOST_WAITS_OLD = 2;
+const MAX_WAITS_OLD = 2;
 
 /** Share of the same bound for what an answer takes beyond its wait. */
 const SLACK_SHARE = 0.1;
@@ -112,7 +112,7 @@
   const wait = store.configurationWaitMs ?? bound * WAIT_SHARE;
   return {
     wait: wait as Ms,
-    mostSilence: (wait * MOST_WAITS_OLD + bound * SLACK_SHARE) as Ms,
+    mostSilence: (wait * MAX_WAITS_OLD + bound * SLACK_SHARE) as Ms,
     patience: (bound * PATIENCE_SHARE) as Ms,
     guardAge: (bound * GUARD_SHARE) as Ms,
     computeWholePatience: (tableWait) =>
--- a/apps/box/src/createLimits.ts
+++ b/apps/box/src/createLimits.ts
@@ -4,7 +4,7 @@
 import {
   createRenewalGatherer,
   createServerLimits,
-  type LimitNews,
+  type LimitUpdate,
   type ServerLimits,
 } from "@stairgauge/limits";
 import type { FleetPlaces } from "@stairgauge/placement";
@@ -27,13 +27,13 @@
 export const createLimits = (options: LimitsOptions): ServerLimits => {
   const { clock, log, metrics, places, isPlacedByHubs, peers, getDirectory } = options;
 
-  const sendNews = (news: LimitNews) => peers.passOn({ limits: news });
+  const sendNews = (news: LimitUpdate) => peers.passOn({ limits: news });
   const takeRenewal = createRenewalGatherer({
     clock,
     getBook: () => limits,
     send: sendNews,
   });
-  const passOn = (news: LimitNews, isRenewal: boolean) => {
+  const passOn = (news: LimitUpdate, isRenewal: boolean) => {
     if (!isRenewal) sendNews(news);
     else if (peers.isHandingOn()) takeRenewal(news);
   };
@@ -43,12 +43,12 @@
     places,
     isPlacedByHubs,
     isListed: (server) => getDirectory().find(server) !== undefined,
-    onOwnNews: peers.teller.takeLimits,
-    onSharedNews: passOn,
+    onOwnUpdate: peers.teller.takeLimits,
+    onSharedUpdate: passOn,
     onEvent: observeLimits({
       log,
       metrics,
-      listLimits: () => limits.listNews().named,
+      listLimits: () => limits.makeUpdate().named,
     }),
   });
   return limits;
--- a/apps/box/src/createPeers.ts
+++ b/apps/box/src/createPeers.ts
@@ -15,7 +15,7 @@
   type PeerServer,
   type PeerServerOptions,
   type RunTeller,
-  type ToldUnsettled,
+  type SharedUnsettledRows,
 } from "@stairgauge/peers";
 import type { LoadBook } from "@stairgauge/placement";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
@@ -35,7 +35,7 @@
   updates: Pick<UpdateTaker, "takeUpdate" | "takeLeaving">;
   getDirectory: () => Pick<ServerDirectory, "list">;
   getCrashes: () => Pick<Crashes, "guard">;
-  getLimits: () => Pick<ServerLimits, "listNews" | "takeNews">;
+  getLimits: () => Pick<ServerLimits, "makeUpdate" | "applyUpdate">;
   getKnowledge: () => Pick<Knowledge, "listUnsettled" | "takeUnsettled">;
 }> &
   Pick<PeerServerOptions, "answerTable" | "answerPlace" | "answerMoves">;
@@ -50,7 +50,7 @@
   /** Hands it on to all boxes that are linked to this one, if this one does so. */
   passOn: (told: Partial<HubNotice>) => void;
   /** Tells boxes that have started lately which rows of a restored table count at this one. */
-  tellNewBoxes: (told: ToldUnsettled) => void;
+  tellNewBoxes: (told: SharedUnsettledRows) => void;
 }>;
 
 /** A box that was greeted so long ago has known the tables as long as this one. */
@@ -65,8 +65,8 @@
 
   const takeNotice = (notice: HubNotice, by: Member["box"]) => {
     notice.leaving.forEach(updates.takeLeaving);
-    getCrashes().guard.takeNews(notice.crashes);
-    getLimits().takeNews(notice.limits, by);
+    getCrashes().guard.applyUpdate(notice.crashes);
+    getLimits().applyUpdate(notice.limits, by);
     getKnowledge().takeUnsettled(notice.unsettled);
   };
   const greetedAt = new Map<BoxName, Ms>();
@@ -83,8 +83,8 @@
     send: (update) => links.tell(update),
     sendToSome: (update) => links.tellSome(update),
     listLeaving: () => listToldLeaving(getDirectory()),
-    listCrashes: () => getCrashes().guard.listAllNews(),
-    listLimits: () => getLimits().listNews(),
+    listCrashes: () => getCrashes().guard.makeFullUpdate(),
+    listLimits: () => getLimits().makeUpdate(),
   });
   const links = createPeerLinks({
     clock,
@@ -104,8 +104,8 @@
         leaving: listToldLeaving(getDirectory()).filter(
           ({ basis }) => basis === "own_word",
         ),
-        crashes: getCrashes().guard.listSharedNews(),
-        limits: getLimits().listNews(),
+        crashes: getCrashes().guard.makeSharedUpdate(),
+        limits: getLimits().makeUpdate(),
         unsettled: getKnowledge().listUnsettled(),
       });
     },
@@ -121,7 +121,7 @@
   const passOn = (told: Partial<HubNotice>) => {
     if (isHandingOn()) peerServer.notifyAll(makeNotice(told));
   };
-  const tellNewBoxes = (told: ToldUnsettled) => {
+  const tellNewBoxes = (told: SharedUnsettledRows) => {
     if (!hasUnsettled(told)) return;
     const boxes = [...greetedAt.keys()].filter(isNewBox);
     peerServer.notify(boxes, makeNotice({ unsettled: [told] }));
--- a/apps/box/src/createSigns.test.ts
+++ b/apps/box/src/createSignals.test.ts
@@ -14,9 +14,9 @@
   type ServerId,
   type ServerName,
 } from "@stairgauge/directory";
-import { NO_SIGNS, type SignSource } from "@stairgauge/signs";
+import { NO_SIGNS, type SignalSource } from "@stairgauge/signals";
 import { createBoxMetrics } from "@stairgauge/telemetry";
-import { createSigns } from "./createSigns.js";
+import { createSignals } from "./createSignals.js";
 import { createLineLog } from "./lineLog.testkit.js";
 
 const ENTRY: ServerEntry = {
@@ -30,7 +30,7 @@
   isLeaving: false,
   warmUpLeft: 0 as Ms,
 };
-const SOURCE: SignSource = {
+const SOURCE: SignalSource = {
   kind: "request",
   request: "r",
   status: 200,
@@ -46,29 +46,29 @@
   });
   directory.put(ENTRY, 0 as Ms);
   const clock = createVirtualClock();
-  const signs = createSigns({
+  const signals = createSignals({
     clock,
     log: createLineLog(write),
     metrics: createBoxMetrics(),
     random: createSeededRandom(44),
     getDirectory: () => directory,
-    limits: { takeSign: () => undefined },
+    limits: { applySignal: () => undefined },
     spells: { onEntry: () => undefined },
     onClosingAnnounced: ({ entry }) => write("closing", { server: entry.id }),
   });
   const server = directory.find(ENTRY.id)!;
-  return { clock, signs, directory, server, lines };
+  return { clock, signals, directory, server, lines };
 };
 
-describe("what becomes of a server's signs", () => {
+describe("what becomes of a server's signals", () => {
   it("marks a server that says that it leaves, and tells once by which answer", () => {
-    const { signs, directory, server, lines } = setUp();
+    const { signals, directory, server, lines } = setUp();
     const heard = {
       server,
-      signs: { ...NO_SIGNS, leaving: { kind: "leaving" } as const },
+      signals: { ...NO_SIGNS, leaving: { kind: "leaving" } as const },
     };
-    signs.take({ ...heard, source: SOURCE });
-    signs.take({ ...heard, source: { kind: "health" } });
+    signals.take({ ...heard, source: SOURCE });
+    signals.take({ ...heard, source: { kind: "health" } });
     expect(directory.find(ENTRY.id)?.leaving?.reason).toBe("answer_says_leaving");
     expect(lines).toEqual([
       { event: "server_says_leaving", server: ENTRY.id, source: SOURCE },
@@ -76,10 +76,10 @@
   });
 
   it("changes nothing by a word that can't be read, and tells each once", () => {
-    const { signs, directory, server, lines } = setUp();
+    const { signals, directory, server, lines } = setUp();
     for (const text of ["0", "0", "true"]) {
       const leaving = { kind: "unreadable", text } as const;
-      signs.take({ server, signs: { ...NO_SIGNS, leaving }, source: SOURCE });
+      signals.take({ server, signals: { ...NO_SIGNS, leaving }, source: SOURCE });
     }
     expect(directory.find(ENTRY.id)?.leaving).toBeUndefined();
     expect(lines).toEqual(
@@ -93,18 +93,18 @@
   });
 
   it("begins the rest that a server asks for, and ends its return by answers to requests alone", () => {
-    const { clock, signs, server, lines } = setUp();
+    const { clock, signals, server, lines } = setUp();
     const { id } = ENTRY;
     const asked = { kind: "asked", duration: 3_000 as Ms } as const;
-    signs.take({ server, signs: { ...NO_SIGNS, rest: asked }, source: SOURCE });
-    expect(signs.rests.mayTake(id, 0)).toBe(false);
+    signals.take({ server, signals: { ...NO_SIGNS, rest: asked }, source: SOURCE });
+    expect(signals.rests.mayTake(id, 0)).toBe(false);
     clock.advance(4_000 as Ms);
-    signs.take({ server, signs: NO_SIGNS, source: { kind: "health" } });
-    expect(signs.rests.mayTake(id, 1)).toBe(false);
-    signs.take({ server, signs: NO_SIGNS, source: SOURCE });
-    expect(signs.rests.mayTake(id, 1)).toBe(true);
+    signals.take({ server, signals: NO_SIGNS, source: { kind: "health" } });
+    expect(signals.rests.mayTake(id, 1)).toBe(false);
+    signals.take({ server, signals: NO_SIGNS, source: SOURCE });
+    expect(signals.rests.mayTake(id, 1)).toBe(true);
     const unreadable = { kind: "unreadable", text: "soon" } as const;
-    signs.take({ server, signs: { ...NO_SIGNS, rest: unreadable }, source: SOURCE });
+    signals.take({ server, signals: { ...NO_SIGNS, rest: unreadable }, source: SOURCE });
     expect(lines).toMatchObject([
       { event: "server_rest_asked", server: id, duration: 3_000 },
       { event: "server_rest_over", server: id },
@@ -113,7 +113,7 @@
   });
 
   it("hears them in answers to an engine's calls by its address, and no end of a connection there", async () => {
-    const { signs, directory, lines } = setUp();
+    const { signals, directory, lines } = setUp();
     const engine = createServer((_, response) =>
       response
         .writeHead(200, { "Server-Leaving": "1", Connection: "close" })
@@ -123,10 +123,10 @@
     const { port } = engine.address() as AddressInfo;
     const address = { ...ENTRY.address, port };
     const limit = 5_000 as Ms;
-    await signs.actions.readReport(address, limit);
+    await signals.actions.readReport(address, limit);
     expect(directory.find(ENTRY.id)?.leaving).toBeUndefined();
     directory.put({ ...ENTRY, address }, 1 as Ms);
-    await signs.actions.readReport(address, limit);
+    await signals.actions.readReport(address, limit);
     engine.close();
     expect(directory.find(ENTRY.id)?.leaving?.reason).toBe("answer_says_leaving");
     expect(lines).not.toContainEqual({ event: "closing", server: ENTRY.id });
--- a/apps/box/src/createSigns.ts
+++ b/apps/box/src/createSignals.ts
@@ -10,34 +10,38 @@
 import type { ServerLimits } from "@stairgauge/limits";
 import type { EngineActions } from "@stairgauge/migration";
 import { createEngineActions } from "@stairgauge/platform";
-import { createServerRests, type RestSign, type ServerRests } from "@stairgauge/rests";
+import {
+  createServerRests,
+  type BackoffSignal,
+  type ServerRests,
+} from "@stairgauge/backoffs";
 import {
   takeSigns,
-  type HeardSign,
+  type ReceivedSignal,
   type HeardSigns,
-  type LeavingSign,
-  type ServerSigns,
-  type SignTakers,
-} from "@stairgauge/signs";
+  type LeavingSignal,
+  type ServerSignals,
+  type SignalHandlers,
+} from "@stairgauge/signals";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 import { observeRests } from "./observers.js";
-import { createUnreadableTeller } from "./tellUnreadable.js";
+import { createUnreadableReporter } from "./reportUnreadable.js";
 
 /** Who takes the signs. */
-export type SignsOptions = Readonly<{
+export type SignalsOptions = Readonly<{
   clock: Pick<Clock, "monotonic">;
   random: Pick<Random, "nextFloat">;
   log: DecisionLog;
   metrics: BoxMetrics;
   getDirectory: () => Pick<ServerDirectory, "find" | "list" | "mark">;
-  limits: Pick<ServerLimits, "takeSign">;
+  limits: Pick<ServerLimits, "applySignal">;
   spells: Pick<ColdSpells, "onEntry">;
   /** A server that stays has announced the end of a connection, which one that leaves does. */
   onClosingAnnounced: (server: BackendServer) => void;
 }>;
 
 /** The parts that the rest of a box calls. */
-export type Signs = Readonly<{
+export type Signals = Readonly<{
   /** Takes the signs of an answer to a request or a health call. */
   take: (heard: HeardSigns) => void;
   /** Calls on engines, whose answers carry signs, too; a server that leaves has no say there any more. */
@@ -46,7 +50,7 @@
 }>;
 
 /** Creates the parts; no server has said anything. */
-export const createSigns = (options: SignsOptions): Signs => {
+export const createSignals = (options: SignalsOptions): Signals => {
   const { clock, log, metrics, getDirectory, limits, spells, onClosingAnnounced } =
     options;
   const rests: ServerRests = createServerRests({
@@ -54,62 +58,66 @@
     random: options.random,
     onEvent: observeRests({ log, metrics, listResting: () => rests.listResting() }),
   });
-  const tellUnreadable = createUnreadableTeller(log);
+  const tellUnreadable = createUnreadableReporter(log);
 
-  const takeClosing = ({ server, sign: isClosing, source }: HeardSign<boolean>) => {
+  const takeClosing = ({
+    server,
+    signal: isClosing,
+    source,
+  }: ReceivedSignal<boolean>) => {
     // Health calls ask for the end of their connection themselves, and the answer to a report would have another one asked for.
     if (isClosing && source.kind === "request") onClosingAnnounced(server);
   };
-  const markLeaving = ({ server, source }: HeardSign<LeavingSign>) => {
+  const markLeaving = ({ server, source }: ReceivedSignal<LeavingSignal>) => {
     const { id } = server.entry;
     const known = getDirectory().find(id)?.leaving?.reason;
     if (known !== undefined && getLeavingBasis(known) === "own_word") return;
     log.writeNotice("server_says_leaving", { server: id, source });
     getDirectory().mark(id, "answer_says_leaving", clock.monotonic());
   };
-  const takeLeaving = (heard: HeardSign<LeavingSign>) => {
-    const { sign, server } = heard;
-    if (sign.kind !== "unsaid")
-      metrics.serverSigns.inc({ sign: "leaving", is: sign.kind });
-    switch (sign.kind) {
+  const takeLeaving = (heard: ReceivedSignal<LeavingSignal>) => {
+    const { signal, server } = heard;
+    if (signal.kind !== "unsaid")
+      metrics.serverSigns.inc({ sign: "leaving", is: signal.kind });
+    switch (signal.kind) {
       case "unsaid":
         return;
       case "leaving":
         markLeaving(heard);
         return;
       case "unreadable":
-        tellUnreadable(server.entry.id, { sign: "leaving", text: sign.text });
+        tellUnreadable(server.entry.id, { sign: "leaving", text: signal.text });
         return;
       default:
-        assertNever(sign);
+        assertNever(signal);
     }
   };
-  const takeRest = ({ server, sign, source }: HeardSign<RestSign>) => {
+  const takeRest = ({ server, signal, source }: ReceivedSignal<BackoffSignal>) => {
     const { id } = server.entry;
-    if (sign.kind !== "not_asked")
-      metrics.serverSigns.inc({ sign: "rest", is: sign.kind });
-    switch (sign.kind) {
+    if (signal.kind !== "not_asked")
+      metrics.serverSigns.inc({ sign: "rest", is: signal.kind });
+    switch (signal.kind) {
       case "not_asked":
         if (source.kind === "request") rests.recordAnswer(id, source.sentAgo);
         return;
       case "asked":
-        rests.begin(id, sign.duration);
+        rests.begin(id, signal.duration);
         return;
       case "unreadable":
-        tellUnreadable(id, { sign: "rest", text: sign.text });
+        tellUnreadable(id, { sign: "rest", text: signal.text });
         return;
       default:
-        assertNever(sign);
+        assertNever(signal);
     }
   };
-  const takers: SignTakers = {
+  const takers: SignalHandlers = {
     isClosing: takeClosing,
-    warmUpLeft: ({ server, sign }) => {
-      if (sign !== undefined) spells.onEntry({ ...server.entry, warmUpLeft: sign });
+    warmUpLeft: ({ server, signal }) => {
+      if (signal !== undefined) spells.onEntry({ ...server.entry, warmUpLeft: signal });
     },
-    limit: ({ server, sign, source }) => {
+    limit: ({ server, signal, source }) => {
       const sentAgo = source.kind === "request" ? source.sentAgo : undefined;
-      limits.takeSign(server.entry.id, sign, sentAgo);
+      limits.applySignal(server.entry.id, signal, sentAgo);
     },
     leaving: takeLeaving,
     rest: takeRest,
@@ -120,9 +128,9 @@
       .list()
       .filter(({ entry }) => entry.address.host === host && entry.address.port === port)
       .filter(({ leaving }) => leaving === undefined);
-  const takeFromEngine = (address: ServerAddress, signs: ServerSigns) => {
+  const takeFromEngine = (address: ServerAddress, signals: ServerSignals) => {
     for (const server of listStaying(address))
-      take({ server, signs, source: { kind: "call" } });
+      take({ server, signals, source: { kind: "call" } });
   };
   return { take, actions: createEngineActions({ onSigns: takeFromEngine }), rests };
 };
--- a/apps/box/src/joins.test.ts
+++ b/apps/box/src/joins.test.ts
@@ -18,7 +18,7 @@
 const AT_ONCE = 150;
 
 /** Faults that are shown; one tells enough. */
-const MOST_SHOWN = 3;
+const MAX_SHOWN = 3;
 
 const sampleScripts = (seed: number) => fc.sample(anyScript, { seed, numRuns: SCRIPTS });
 
@@ -36,7 +36,7 @@
   };
   for (let at = 0; at < scripts.length; at += AT_ONCE)
     await Promise.all(scripts.slice(at, at + AT_ONCE).map(judge));
-  return { faults: faults.slice(0, MOST_SHOWN), joined };
+  return { faults: faults.slice(0, MAX_SHOWN), joined };
 };
 
 describe("a stream that goes on at other engines", () => {
--- a/apps/box/src/joins.testkit.ts
+++ b/apps/box/src/joins.testkit.ts
@@ -177,8 +177,8 @@
 };
 
 const ENGINES = 24;
-const MOST_CALLS = 100_000;
-const MOST_SERVERS = 6;
+const MAX_CALLS = 100_000;
+const MAX_SERVERS = 6;
 const PATIENCE_MS = 400;
 
 /** What a client got, and what the box asked for. */
@@ -201,7 +201,7 @@
     serveCall(call, script, earlier.length - 1);
   };
   const engines = createScriptedEngines(
-    Array.from({ length: MOST_CALLS }, () => answerCall),
+    Array.from({ length: MAX_CALLS }, () => answerCall),
   );
   for (let i = 0; i < ENGINES; i += 1) {
     const engine = await engines.start(`engine-${i}`);
@@ -210,9 +210,9 @@
   }
   const { ports, lines } = await startBox(site.store.address, "box-1", {
     ...KEEPS_KEYS,
-    retrySlack: MOST_CALLS,
+    retrySlack: MAX_CALLS,
   });
-  site.allowServers(MOST_SERVERS);
+  site.allowServers(MAX_SERVERS);
   await waitUntilKnown(lines, ENGINES);
   let next = 0;
   const runScript = async (script: Script): Promise<Outcome> => {
@@ -303,7 +303,7 @@
 
 /** Draws scripts. */
 export const anyScript: fc.Arbitrary<Script> = fc.record({
-  plays: fc.array(play, { minLength: 1, maxLength: MOST_SERVERS }),
+  plays: fc.array(play, { minLength: 1, maxLength: MAX_SERVERS }),
   events: fc.integer({ min: 1, max: 7 }),
   form: fc.nat(FORMS.length - 1),
   after: fc.option(fc.nat(3), { nil: undefined }),
--- a/apps/box/src/joinsInSeries.test.ts
+++ b/apps/box/src/joinsInSeries.test.ts
@@ -25,8 +25,8 @@
 /** Events of a stream for which a box keeps a standby copy: it looks for such runs some times a second. */
 const LONG = 900;
 
-const MOST_REPEATS = 1_000;
-const MOST_SERVERS = 6;
+const MAX_REPEATS = 1_000;
+const MAX_SERVERS = 6;
 
 /** Whether a client got whole events, each once and in order, and an end in order only behind the last. */
 const isSound = (id: string, { status, body, isWhole }: Answer) => {
@@ -38,10 +38,10 @@
 const startEngines = async (engines: number): Promise<BoxedSite> => {
   const started = await startSite(engines, 0, {
     ...KEEPS_KEYS,
-    retrySlack: MOST_REPEATS,
+    retrySlack: MAX_REPEATS,
   });
   await started.start();
-  started.site.allowServers(MOST_SERVERS);
+  started.site.allowServers(MAX_SERVERS);
   await waitFor(
     () =>
       started.lines.filter(({ event }) => event === "configuration_adopted").length === 2,
--- a/apps/box/src/observers.ts
+++ b/apps/box/src/observers.ts
@@ -8,10 +8,10 @@
   ForwardDecision,
   ForwardObserver,
 } from "@stairgauge/forwarding";
-import type { LimitEvent, ToldLimit } from "@stairgauge/limits";
+import type { LimitEvent, SharedLimit } from "@stairgauge/limits";
 import type { MoveDecision, StandbyDecision } from "@stairgauge/migration";
 import type { PeerMessage } from "@stairgauge/peers";
-import type { RestEvent } from "@stairgauge/rests";
+import type { BackoffEvent } from "@stairgauge/backoffs";
 import type { EraChange, RestoreReport } from "@stairgauge/storefeed";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 
@@ -126,7 +126,7 @@
     log,
     metrics,
     listLimits,
-  }: Sinks & Readonly<{ listLimits: () => readonly ToldLimit[] }>) =>
+  }: Sinks & Readonly<{ listLimits: () => readonly SharedLimit[] }>) =>
   (event: LimitEvent): void => {
     const { kind, ...fields } = event;
     const limits = listLimits();
@@ -142,7 +142,7 @@
     metrics,
     listResting,
   }: Sinks & Readonly<{ listResting: () => readonly ServerId[] }>) =>
-  (event: RestEvent): void => {
+  (event: BackoffEvent): void => {
     const { kind, ...fields } = event;
     metrics.restingServers.set(listResting().length);
     log.writeNotice(`server_rest_${kind}`, roundNumbers(fields));
--- a/apps/box/src/tellUnreadable.ts
+++ b/apps/box/src/reportUnreadable.ts
@@ -6,16 +6,16 @@
 export type UnreadableSign = Readonly<{ sign: string; text: string }>;
 
 /** Servers whose last unreadable text is kept. */
-const MOST_KEPT = 1_024;
+const MAX_KEPT = 1_024;
 
 /** Creates the teller. */
-export const createUnreadableTeller = (log: Pick<DecisionLog, "writeWarning">) => {
+export const createUnreadableReporter = (log: Pick<DecisionLog, "writeWarning">) => {
   const told = new Map<string, string>();
 
   return (server: ServerId, { sign, text }: UnreadableSign): void => {
     const key = `${server} ${sign}`;
     if (told.get(key) === text) return;
-    if (told.size >= MOST_KEPT) told.clear();
+    if (told.size >= MAX_KEPT) told.clear();
     told.set(key, text);
     log.writeWarning("server_sign_unreadable", { server, sign, text });
   };
--- a/apps/box/src/restingServers.test.ts
+++ b/apps/box/src/restingServers.test.ts
@@ -31,7 +31,7 @@
 const SENT_MS = 6_000;
 
 /** Share of the requests that may be turned away while servers are free. */
-const MOST_TURNED_AWAY = 0.1;
+const MAX_TURNED_AWAY = 0.1;
 
 /** Boxes come back after 3 s spread over a quarter of it, and their clients over a second more. */
 const LATEST_SECONDS = 4.75;
@@ -75,7 +75,7 @@
         expect(countMostInRest(arrivals, seconds)).toBeLessThanOrEqual(MOST_IN_REST);
       }
       await collectAnswers(sent);
-      expect(listTurnedAway(fleet).length).toBeLessThan(sent.length * MOST_TURNED_AWAY);
+      expect(listTurnedAway(fleet).length).toBeLessThan(sent.length * MAX_TURNED_AWAY);
     },
     FULL_MACHINE_MS,
   );
--- a/apps/box/src/takeUpdates.ts
+++ b/apps/box/src/takeUpdates.ts
@@ -10,7 +10,7 @@
 } from "@stairgauge/directory";
 import type { FleetPlacer } from "@stairgauge/fleet";
 import type { ServerLimits } from "@stairgauge/limits";
-import { applyUpdate, type RunUpdate, type ToldLeaving } from "@stairgauge/peers";
+import { applyUpdate, type RunUpdate, type SharedLeaving } from "@stairgauge/peers";
 import type { EngineReport, LoadBook, PlacedAt, RivalRate } from "@stairgauge/placement";
 
 /** Where it goes. */
@@ -20,8 +20,8 @@
   rivals: RivalRate;
   getDirectory: () => ServerDirectory;
   getPlacer: () => Pick<FleetPlacer, "takeBroken" | "takeAnswered">;
-  getGuard: () => Pick<RequestGuard, "takeNews">;
-  getLimits: () => Pick<ServerLimits, "takeNews">;
+  getGuard: () => Pick<RequestGuard, "applyUpdate">;
+  getLimits: () => Pick<ServerLimits, "applyUpdate">;
   /** The store does not reach this box. */
   isOutOfTouch: () => boolean;
 }>;
@@ -29,7 +29,7 @@
 /** Takes updates. */
 export type UpdateTaker = Readonly<{
   takeUpdate: (update: RunUpdate) => void;
-  takeLeaving: (told: ToldLeaving) => void;
+  takeLeaving: (told: SharedLeaving) => void;
   /** A report, from the engine itself or by another box. */
   markReported: (server: ServerId, report: EngineReport) => void;
 }>;
@@ -38,12 +38,12 @@
 export const toToldLeaving = (
   { entry }: BackendServer,
   reason: LeavingReason,
-): ToldLeaving => ({ server: entry.id, basis: getLeavingBasis(reason) });
+): SharedLeaving => ({ server: entry.id, basis: getLeavingBasis(reason) });
 
 /** Lists all servers that leave. */
 export const listToldLeaving = (
   directory: Pick<ServerDirectory, "list">,
-): readonly ToldLeaving[] =>
+): readonly SharedLeaving[] =>
   directory
     .list()
     .flatMap((server) =>
@@ -57,7 +57,7 @@
   const markReported = (server: ServerId, report: EngineReport) => {
     if (report.isLeaving) getDirectory().mark(server, "report", clock.monotonic());
   };
-  const takeLeaving = ({ server, basis }: ToldLeaving) => {
+  const takeLeaving = ({ server, basis }: SharedLeaving) => {
     // A box that the store reaches sees itself whether an entry is gone.
     if (basis === "entry_gone" && !isOutOfTouch()) return;
     const reason = basis === "own_word" ? "told_own_word" : "told_by_box";
@@ -85,8 +85,8 @@
         onReport,
         onBroken,
         onAnswered,
-        onCrashes: options.getGuard().takeNews,
-        onLimits: options.getLimits().takeNews,
+        onCrashes: options.getGuard().applyUpdate,
+        onLimits: options.getLimits().applyUpdate,
       };
       applyUpdate(sinks, update);
     },
--- a/apps/box/src/viewConfiguration.ts
+++ b/apps/box/src/viewConfiguration.ts
@@ -9,6 +9,6 @@
   clock: Clock,
 ): ConfigurationView => ({
   getIndex: keeper.getIndex,
-  getStanding: () => keeper.getStanding(clock.monotonic()),
+  getServerStatus: () => keeper.getFreshness(clock.monotonic()),
   getAge: () => keeper.getAge(clock.monotonic()),
 });
--- /dev/null
+++ b/packages/backoffs/src/index.ts
@@ -0,0 +1,7 @@
+/** Rest that backend servers ask of a box: what it sends them meanwhile, and how it comes back. */
+export type * from "./types.js";
+export { createServerBackoffs as createServerRests } from "./serverBackoffs.js";
+export type {
+  ServerBackoffs as ServerRests,
+  ServerBackoffsOptions as ServerRestsOptions,
+} from "./serverBackoffs.js";
--- a/packages/rests/src/serverRests.ts
+++ b/packages/backoffs/src/serverBackoffs.ts
@@ -7,24 +7,24 @@
 import type { ServerId } from "@stairgauge/directory";
 import {
   FIRST_OPEN,
-  MOST_REST_MS,
-  MOST_SPARED,
-  MOST_SPREAD_MS,
+  MAX_REST_MS,
+  MAX_SPARED,
+  MAX_SPREAD_MS,
   RETURNED_OPEN,
   SPREAD_SHARE,
 } from "./constants.js";
-import type { RestEvent } from "./types.js";
+import type { BackoffEvent } from "./types.js";
 
 /** What the rests need. */
-export type ServerRestsOptions = Readonly<{
+export type ServerBackoffsOptions = Readonly<{
   /** The steady clock: a box that was suspended rests longer than it was asked, never shorter. */
   clock: Pick<Clock, "monotonic">;
   random: Pick<Random, "nextFloat">;
-  onEvent: (event: RestEvent) => void;
+  onEvent: (event: BackoffEvent) => void;
 }>;
 
 /** The rests of one box. */
-export type ServerRests = Readonly<{
+export type ServerBackoffs = Readonly<{
   /** A server has turned a request away, and asks for rest. */
   begin: (server: ServerId, duration: Ms) => void;
   /** A server has answered a request without asking for rest; the request was sent so long ago. */
@@ -51,15 +51,15 @@
 }>;
 
 /** Creates the rests; no server has asked for any. */
-export const createServerRests = (options: ServerRestsOptions): ServerRests => {
+export const createServerBackoffs = (options: ServerBackoffsOptions): ServerBackoffs => {
   const { clock, random, onEvent } = options;
   const rests = new Map<ServerId, Rest>();
 
   const computeSpread = (duration: Ms) =>
-    random.nextFloat() * Math.min(duration * SPREAD_SHARE, MOST_SPREAD_MS);
+    random.nextFloat() * Math.min(duration * SPREAD_SHARE, MAX_SPREAD_MS);
 
-  const begin: ServerRests["begin"] = (server, asked) => {
-    const duration = Math.min(asked, MOST_REST_MS) as Ms;
+  const begin: ServerBackoffs["begin"] = (server, asked) => {
+    const duration = Math.min(asked, MAX_REST_MS) as Ms;
     const resting = findResting(server);
     const until = clock.monotonic() + duration + computeSpread(duration);
     // Each answer asks for a time of its own: a shorter one takes nothing from a longer one before it.
@@ -84,7 +84,7 @@
   };
   const isResting = (server: ServerId) => findResting(server) !== undefined;
 
-  const recordAnswer: ServerRests["recordAnswer"] = (server, sentAgo) => {
+  const recordAnswer: ServerBackoffs["recordAnswer"] = (server, sentAgo) => {
     const rest = findRest(server);
     if (!rest?.isOver || clock.monotonic() - sentAgo < rest.until) return;
     const mostOpen = rest.mostOpen * 2;
@@ -92,12 +92,12 @@
     else rests.set(server, { ...rest, mostOpen });
   };
 
-  const computeRetryAfter: ServerRests["computeRetryAfter"] = (servers) => {
+  const computeRetryAfter: ServerBackoffs["computeRetryAfter"] = (servers) => {
     const now = clock.monotonic();
     const waits = servers.map((server) => (findRest(server)?.until ?? now) - now);
     const wait = Math.max(0, Math.min(...waits));
     // Clients that were refused one after the other would all come back in the same instant.
-    return Math.ceil(wait + random.nextFloat() * Math.min(wait, MOST_SPREAD_MS)) as Ms;
+    return Math.ceil(wait + random.nextFloat() * Math.min(wait, MAX_SPREAD_MS)) as Ms;
   };
 
   return {
@@ -111,7 +111,7 @@
     takeSpared: (server) => {
       const resting = findResting(server);
       if (!resting) return true;
-      if (resting.spared >= MOST_SPARED) return false;
+      if (resting.spared >= MAX_SPARED) return false;
       rests.set(server, { ...resting, spared: resting.spared + 1 });
       return true;
     },
--- a/packages/rests/src/types.ts
+++ b/packages/backoffs/src/types.ts
@@ -3,7 +3,7 @@
 import type { ServerId } from "@stairgauge/directory";
 
 /** What one answer of a server says of rest. */
-export type RestSign = Readonly<
+export type BackoffSignal = Readonly<
   | { kind: "not_asked" }
   /** The server has turned the request away, and wants nothing of this box for so long. */
   | { kind: "asked"; duration: Ms }
@@ -11,7 +11,7 @@
 >;
 
 /** A change of what a box owes a server. */
-export type RestEvent = Readonly<
+export type BackoffEvent = Readonly<
   | { kind: "asked"; server: ServerId; duration: Ms; until: Ms }
   /** The server has turned a request away again, and rests longer than before. */
   | { kind: "prolonged"; server: ServerId; duration: Ms; until: Ms }
--- a/packages/common/src/bootClock.ts
+++ b/packages/common/src/bootClock.ts
@@ -11,7 +11,7 @@
 export type ClockSources = Readonly<{ steady: () => number; timeOfDay: () => number }>;
 
 /** A gain of the time of day below this is its own drift; it counts once it has added up. */
-const LEAST_GAP_MS = 100;
+const MIN_GAP_MS = 100;
 
 /** Two readings that lie further apart were interrupted, and say nothing of each other. */
 const LONGEST_READING_MS = 2;
@@ -30,11 +30,11 @@
     const now = steady();
     if (now - before > LONGEST_READING_MS) return (now + unseen) as Ms;
     const gain = dayTime - now - lead;
-    if (gain >= LEAST_GAP_MS) {
+    if (gain >= MIN_GAP_MS) {
       unseen += gain;
       onGap(gain as Ms);
     }
-    if (Math.abs(gain) >= LEAST_GAP_MS) lead += gain;
+    if (Math.abs(gain) >= MIN_GAP_MS) lead += gain;
     return (now + unseen) as Ms;
   };
 };
--- a/packages/crashes/src/blockedList.test.ts
+++ b/packages/crashes/src/blockedList.test.ts
@@ -34,8 +34,8 @@
   const guard = createRequestGuard({
     clock,
     limits: { blockingEnds: 3, memory: MEMORY_MS },
-    onOwnNews: () => undefined,
-    onSharedNews: () => undefined,
+    onOwnUpdate: () => undefined,
+    onSharedUpdate: () => undefined,
     onBlocked: (blocked) => list.put(blocked),
     onReleased: (digest) => list.drop(digest),
   });
@@ -61,9 +61,9 @@
   });
   const recordEnds = (servers: readonly string[]) =>
     servers.forEach((server) =>
-      guard.recordEnd({ digest: DIGEST, server: server as ServerId }),
+      guard.recordCrash({ digest: DIGEST, server: server as ServerId }),
     );
-  const judge = () => guard.judge(() => DIGEST).kind;
+  const judge = () => guard.getStatus(() => DIGEST).kind;
   const makeRow = (value = values.get(DIGEST)!) => ({
     key: DIGEST,
     value,
@@ -104,7 +104,7 @@
     const later = createBox();
     later.clock.advance(600_000 as Ms);
     later.list.sink.onWhole([first.makeRow()], 0 as Ms, toRevision(1));
-    expect(later.guard.judge(() => DIGEST)).toEqual({
+    expect(later.guard.getStatus(() => DIGEST)).toEqual({
       kind: "blocked",
       ends: 3,
       left: MEMORY_MS - 600_000,
@@ -171,7 +171,7 @@
     const row = { ...box.makeRow(box.values.get(DIGEST)), key: "x" };
     box.list.sink.onWhole([row], 0 as Ms, toRevision(1));
     expect(box.failures).toEqual([{ kind: "unreadable_request", key: "x" }]);
-    expect(box.guard.judge(() => "x" as RequestDigest).kind).toBe("unsuspected");
+    expect(box.guard.getStatus(() => "x" as RequestDigest).kind).toBe("unsuspected");
   });
 
   describe("when the store comes back from a copy", () => {
@@ -226,8 +226,8 @@
 
     it("keeps a request blocked whose row is lost, and released one that was", () => {
       const row = { ...createBox().makeRow(Buffer.from("")), key: DIGEST };
-      expect(BLOCKED_RESTORE_RULES.judgeMissing(row).kind).toBe("keep_for");
-      expect(BLOCKED_RESTORE_RULES.judgeDropped(row).kind).toBe("take_after");
+      expect(BLOCKED_RESTORE_RULES.resolveMissing(row).kind).toBe("keep_for");
+      expect(BLOCKED_RESTORE_RULES.resolveDropped(row).kind).toBe("take_after");
     });
   });
 });
--- a/packages/crashes/src/blockedList.ts
+++ b/packages/crashes/src/blockedList.ts
@@ -22,7 +22,7 @@
   table: string;
   /** How long a write may take. */
   limit: Ms;
-  getGuard: () => Pick<RequestGuard, "takeNews" | "release" | "judge">;
+  getGuard: () => Pick<RequestGuard, "applyUpdate" | "release" | "getStatus">;
   /** The box's place among those that write for all; the first one drops rows whose time has passed. */
   getRank: () => number | undefined;
   onFailure: (failure: StoreWriteFailure | BlockedRowFailure) => void;
@@ -62,8 +62,8 @@
 /** What counts of the table when the store comes back from a copy. */
 export const BLOCKED_RESTORE_RULES: RestoreRules = {
   isUndone: () => false,
-  judgeMissing: () => ({ kind: "keep_for", duration: RECOVERED_WITHIN_MS }),
-  judgeDropped: () => ({ kind: "take_after", duration: RECOVERED_WITHIN_MS }),
+  resolveMissing: () => ({ kind: "keep_for", duration: RECOVERED_WITHIN_MS }),
+  resolveDropped: () => ({ kind: "take_after", duration: RECOVERED_WITHIN_MS }),
 };
 
 /** How often rows are looked through for those whose time has passed. */
@@ -76,12 +76,12 @@
   let review: Timer | undefined;
   const rows = createBlockedRows({
     clock,
-    onListed: (ends) => getGuard().takeNews({ ends, served: [] }),
+    onListed: (ends) => getGuard().applyUpdate({ ends, served: [] }),
     onDropped: (digest) => getGuard().release(digest),
     onUnreadable: onFailure,
   });
   const isBlocked = (digest: RequestDigest) =>
-    getGuard().judge(() => digest).kind === "blocked";
+    getGuard().getStatus(() => digest).kind === "blocked";
 
   const writeWhile = async ({ isDue, write }: PendingWrite): Promise<void> => {
     if (isStopped || !isDue()) return;
--- a/packages/crashes/src/blockedRows.ts
+++ b/packages/crashes/src/blockedRows.ts
@@ -4,7 +4,7 @@
 import type { FollowerSink, StoredRow } from "@stairgauge/storefeed";
 import { z } from "zod";
 import { REQUEST_DIGEST } from "./constants.js";
-import type { RequestDigest, ToldEnd } from "./types.js";
+import type { RequestDigest, SharedCrash } from "./types.js";
 
 const rowSchema = z.object({
   ends: z.array(z.object({ server: z.string(), at: z.number() })).max(64),
@@ -14,7 +14,7 @@
 export type BlockedRowFailure = Readonly<{ kind: "unreadable_request"; key: string }>;
 
 /** Encodes the ends of a request; the times are times of day, which boxes share. */
-export const encodeBlockedRow = (ends: readonly ToldEnd[], now: Ms): Buffer =>
+export const encodeBlockedRow = (ends: readonly SharedCrash[], now: Ms): Buffer =>
   Buffer.from(
     JSON.stringify({ ends: ends.map(({ server, age }) => ({ server, at: now - age })) }),
   );
@@ -23,7 +23,7 @@
 const decodeBlockedRow = (
   { key, value }: Pick<StoredRow, "key" | "value">,
   now: Ms,
-): Result<readonly ToldEnd[], BlockedRowFailure> => {
+): Result<readonly SharedCrash[], BlockedRowFailure> => {
   try {
     const { ends } = rowSchema.parse(JSON.parse(value.toString("utf8")));
     return Ok(
@@ -41,7 +41,7 @@
 /** Who hears what the rows say. */
 export type BlockedRowsOptions = Readonly<{
   clock: Pick<Clock, "now">;
-  onListed: (ends: readonly ToldEnd[]) => void;
+  onListed: (ends: readonly SharedCrash[]) => void;
   /** A row that was there is gone. */
   onDropped: (digest: RequestDigest) => void;
   onUnreadable: (failure: BlockedRowFailure) => void;
--- a/packages/crashes/src/endBook.ts
+++ b/packages/crashes/src/crashRegistry.ts
@@ -1,10 +1,10 @@
 /** Which servers ended under which requests, in bounded memory. Pure but for the time handed in. */
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import type { RequestDigest, RequestEnd, RequestStanding } from "./types.js";
+import type { RequestDigest, ServerCrash, RequestStatus } from "./types.js";
 
 /** From when on a request is kept from servers, and how long ends count. */
-export type EndLimits = Readonly<{
+export type CrashLimits = Readonly<{
   /** Servers that have to end under a request. */
   blockingEnds: number;
   /** How long an end counts. */
@@ -12,35 +12,38 @@
 }>;
 
 /** The book of one box. */
-export type EndBook = Readonly<{
+export type CrashRegistry = Readonly<{
   /** Takes an end; false when it is known, too old, or happened before the request was released. */
-  add: (end: RequestEnd, now: Ms) => boolean;
+  add: (end: ServerCrash, now: Ms) => boolean;
   /** Forgets the ends of a request, also those that are told late; false when none is known. */
   release: (digest: RequestDigest, now: Ms) => boolean;
   /** Judges by what is known; `besides` are servers whose end is not known yet. */
-  judge: (
+  getStatus: (
     digest: RequestDigest,
     now: Ms,
     besides?: ReadonlySet<ServerId>,
-  ) => RequestStanding;
-  listEnds: (digest: RequestDigest) => readonly RequestEnd[];
+  ) => RequestStatus;
+  listEnds: (digest: RequestDigest) => readonly ServerCrash[];
   listRequests: () => readonly RequestDigest[];
   /** Whether no end in it counts any more. */
   isEmpty: (now: Ms) => boolean;
 }>;
 
 /** Requests that are kept: a full engine that ends puts some 50 into the book, each in less than 300 bytes. */
-const MOST_REQUESTS = 4_096;
+const MAX_REQUESTS = 4_096;
 
 /** Ends of one request beyond which no further one changes anything. */
-const MOST_ENDS = 32;
+const MAX_ENDS = 32;
 
-const UNSUSPECTED: RequestStanding = { kind: "unsuspected" };
+const UNSUSPECTED: RequestStatus = { kind: "unsuspected" };
 
 /** Creates an empty book. */
-export const createEndBook = ({ blockingEnds, memory }: EndLimits): EndBook => {
+export const createCrashRegistry = ({
+  blockingEnds,
+  memory,
+}: CrashLimits): CrashRegistry => {
   /** In the order in which they were last added to. */
-  const ends = new Map<RequestDigest, ReadonlyMap<ServerId, RequestEnd>>();
+  const ends = new Map<RequestDigest, ReadonlyMap<ServerId, ServerCrash>>();
   const releasedAt = new Map<RequestDigest, Ms>();
 
   const listEnds = (digest: RequestDigest) => [...(ends.get(digest)?.values() ?? [])];
@@ -68,18 +71,18 @@
     dropOldest(ends);
   };
 
-  const add = (end: RequestEnd, now: Ms): boolean => {
+  const add = (end: ServerCrash, now: Ms): boolean => {
     const { digest, server, at } = end;
     const known = new Map(listCounting(digest, now).map((one) => [one.server, one]));
-    if (known.has(server) || known.size >= MOST_ENDS) return false;
+    if (known.has(server) || known.size >= MAX_ENDS) return false;
     if (now - at >= memory || at <= (releasedAt.get(digest) ?? -Infinity)) return false;
     ends.delete(digest);
     ends.set(digest, known.set(server, end));
-    if (ends.size > MOST_REQUESTS) dropLeastSuspect();
+    if (ends.size > MAX_REQUESTS) dropLeastSuspect();
     return true;
   };
 
-  const judge: EndBook["judge"] = (digest, now, besides = new Set()) => {
+  const getStatus: CrashRegistry["getStatus"] = (digest, now, besides = new Set()) => {
     const counting = listCounting(digest, now);
     const unknown = [...besides].filter((id) => !ends.get(digest)?.has(id)).length;
     const count = counting.length + unknown;
@@ -97,10 +100,10 @@
       if (!ends.delete(digest)) return false;
       releasedAt.delete(digest);
       releasedAt.set(digest, now);
-      if (releasedAt.size > MOST_REQUESTS) dropOldest(releasedAt);
+      if (releasedAt.size > MAX_REQUESTS) dropOldest(releasedAt);
       return true;
     },
-    judge,
+    getStatus,
     listEnds,
     listRequests: () => [...ends.keys()],
     isEmpty: (now) => {
--- a/packages/crashes/src/mayHaveEnded.ts
+++ b/packages/crashes/src/mayHaveEnded.ts
@@ -1,6 +1,6 @@
 /** Whether a request can be what ended its server. Pure. */
 import type { Ms } from "@stairgauge/common";
-import { LONGEST_FATAL_RUN_MS, MOST_FATAL_EVENTS } from "./constants.js";
+import { LONGEST_FATAL_RUN_MS, MAX_FATAL_EVENTS } from "./constants.js";
 
 /** How far a request had come when its server ended. */
 export type BrokenRun = Readonly<{
@@ -12,4 +12,4 @@
 
 /** A request that was well under way was only aboard. */
 export const mayHaveEnded = ({ ranFor, events }: BrokenRun): boolean =>
-  (ranFor ?? 0) <= LONGEST_FATAL_RUN_MS && events <= MOST_FATAL_EVENTS;
+  (ranFor ?? 0) <= LONGEST_FATAL_RUN_MS && events <= MAX_FATAL_EVENTS;
--- a/packages/crashes/src/requestGuard.test.ts
+++ b/packages/crashes/src/requestGuard.test.ts
@@ -15,7 +15,7 @@
 import {
   createRequestGuard,
   type BlockedRequest,
-  type CrashNews,
+  type CrashUpdate,
   type RequestDigest,
   type RequestGuard,
 } from "./index.js";
@@ -33,8 +33,8 @@
   const guard = createRequestGuard({
     clock,
     limits: LIMITS,
-    onOwnNews: () => undefined,
-    onSharedNews: () => undefined,
+    onOwnUpdate: () => undefined,
+    onSharedUpdate: () => undefined,
     onBlocked: (one) => blocked.push(one),
     onReleased: (digest) => released.push(digest),
     ...more,
@@ -44,7 +44,7 @@
 
 const recordEnds = (guard: RequestGuard, servers: readonly string[]) =>
   servers.forEach((server) =>
-    guard.recordEnd({ digest: DIGEST, server: server as ServerId }),
+    guard.recordCrash({ digest: DIGEST, server: server as ServerId }),
   );
 
 describe("createRequestGuard", () => {
@@ -53,7 +53,7 @@
     const fail = () => {
       throw new Error("asked");
     };
-    expect(guard.judge(fail)).toEqual({ kind: "unsuspected" });
+    expect(guard.getStatus(fail)).toEqual({ kind: "unsuspected" });
     guard.recordServed(fail);
   });
 
@@ -78,13 +78,13 @@
   });
 
   it("trusts a request that a server has served, and tells it", () => {
-    const told: CrashNews[] = [];
+    const told: CrashUpdate[] = [];
     const { guard, released } = createOne(createVirtualClock(), {
-      onOwnNews: (news) => told.push(news),
+      onOwnUpdate: (news) => told.push(news),
     });
     recordEnds(guard, ["a", "b", "c"]);
     guard.recordServed(getDigest);
-    expect(guard.judge(getDigest)).toEqual({ kind: "unsuspected" });
+    expect(guard.getStatus(getDigest)).toEqual({ kind: "unsuspected" });
     expect(released).toEqual([DIGEST]);
     expect(told.at(-1)).toEqual({ ends: [], served: [DIGEST] });
   });
@@ -98,9 +98,9 @@
       server: server as ServerId,
       age: (i * 1_000) as Ms,
     }));
-    guard.takeNews({ ends, served: [] });
+    guard.applyUpdate({ ends, served: [] });
     const left = LIMITS.memory - 2_000;
-    expect(guard.judge(getDigest)).toEqual({ kind: "blocked", ends: 3, left });
+    expect(guard.getStatus(getDigest)).toEqual({ kind: "blocked", ends: 3, left });
   });
 });
 
@@ -126,15 +126,15 @@
   let hubNames = new Set(Array.from({ length: hubs }, (_, i) => i));
 
   const guards: readonly RequestGuard[] = Array.from({ length: boxes }, (_, own) => {
-    const sendTo = (box: number, news: CrashNews) => {
+    const sendTo = (box: number, news: CrashUpdate) => {
       if (box === own || box === lostHub || own === lostHub) return;
-      world.setTimer(computeDelay(), () => guards[box]!.takeNews(news));
+      world.setTimer(computeDelay(), () => guards[box]!.applyUpdate(news));
     };
     const listLinked = () =>
       hubs === 0 ? guards.map((_guard, box) => box) : [...hubNames];
     return createOne(world, {
-      onOwnNews: (news) => listLinked().forEach((box) => sendTo(box, news)),
-      onSharedNews: (news) => {
+      onOwnUpdate: (news) => listLinked().forEach((box) => sendTo(box, news)),
+      onSharedUpdate: (news) => {
         if (hubNames.has(own)) guards.forEach((_guard, box) => sendTo(box, news));
       },
     }).guard;
@@ -144,7 +144,7 @@
     world.setTimer(1_200 as Ms, () => {
       hubNames = new Set([...hubNames].filter((box) => box !== lostHub).concat(hubs));
       // A link that has come up begins with all that its box knows.
-      guards.forEach((guard) => guards[hubs]!.takeNews(guard.listAllNews()));
+      guards.forEach((guard) => guards[hubs]!.applyUpdate(guard.makeFullUpdate()));
     });
   };
 
@@ -153,14 +153,14 @@
   let lateArrivals = 0;
   const attempt = (box: number) => {
     const guard = guards[box]!;
-    if (box === lostHub || guard.judge(getDigest).kind === "blocked") return;
+    if (box === lostHub || guard.getStatus(getDigest).kind === "blocked") return;
     if (thirdAt !== undefined && world.now() - thirdAt > CONTACT_MS) lateArrivals += 1;
     world.setTimer(30 as Ms, () => {
       ends += 1;
       if (ends === 3) thirdAt = world.now();
       if (ends === 2 && isHubLost) replaceHub();
       const server = `s${ends}` as ServerId;
-      guard.recordEnd({ digest: DIGEST, server });
+      guard.recordCrash({ digest: DIGEST, server });
     });
   };
   for (let at = 0; at < 12_000; at += TRY_PAUSE_MS)
@@ -169,7 +169,7 @@
   return {
     lateArrivals,
     ends,
-    known: guards.map((guard) => guard.judge(getDigest).kind),
+    known: guards.map((guard) => guard.getStatus(getDigest).kind),
   };
 };
 
--- a/packages/crashes/src/requestGuard.ts
+++ b/packages/crashes/src/requestGuard.ts
@@ -6,19 +6,19 @@
 import type { Clock, Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import { SHARED_ENDS } from "./constants.js";
-import { createEndBook, type EndLimits } from "./endBook.js";
+import { createCrashRegistry, type CrashLimits } from "./crashRegistry.js";
 import type {
-  CrashNews,
+  CrashUpdate,
   RequestDigest,
-  RequestEnd,
-  RequestStanding,
-  ToldEnd,
+  ServerCrash,
+  RequestStatus,
+  SharedCrash,
 } from "./types.js";
 
 /** A request that goes to no server from now on. */
 export type BlockedRequest = Readonly<{
   digest: RequestDigest;
-  ends: readonly ToldEnd[];
+  ends: readonly SharedCrash[];
   left: Ms;
   /** Whether this box saw the end that decided it. */
   isOwn: boolean;
@@ -27,64 +27,64 @@
 /** Who hears of changes. */
 export type RequestGuardOptions = Readonly<{
   clock: Clock;
-  limits: EndLimits;
+  limits: CrashLimits;
   /** This box has seen an end, or a request served: other boxes are to hear it. */
-  onOwnNews: (news: CrashNews) => void;
+  onOwnUpdate: (news: CrashUpdate) => void;
   /**
    * What is known of some requests has changed, whoever said so: all that boxes which hear this one alone need. A single end
    * is no news to them.
    */
-  onSharedNews: (news: CrashNews) => void;
+  onSharedUpdate: (news: CrashUpdate) => void;
   onBlocked: (blocked: BlockedRequest) => void;
   /** A request is trusted again: a server has served it, or an operator says so. */
   onReleased: (digest: RequestDigest, isOwn: boolean) => void;
 }>;
 
 /** An end that this box has seen, of a server that the request may have ended. */
-export type SeenEnd = Pick<RequestEnd, "digest" | "server">;
+export type ObservedCrash = Pick<ServerCrash, "digest" | "server">;
 
 /** The guard of one box. */
 export type RequestGuard = Readonly<{
   /** Judges a request; its digest is asked for only where any request is suspected. */
-  judge: (
+  getStatus: (
     getDigest: () => RequestDigest,
     besides?: ReadonlySet<ServerId>,
-  ) => RequestStanding;
+  ) => RequestStatus;
   /** A server has ended under a request of this box. */
-  recordEnd: (seen: SeenEnd) => void;
+  recordCrash: (seen: ObservedCrash) => void;
   /** A server has served a request of this box to a good end. */
   recordServed: (getDigest: () => RequestDigest) => void;
   /** Another box, or the store, tells. */
-  takeNews: (news: CrashNews) => void;
+  applyUpdate: (news: CrashUpdate) => void;
   /** An operator trusts a request again. */
   release: (digest: RequestDigest) => void;
   /** All that is known, for a box that counts the ends of all. */
-  listAllNews: () => CrashNews;
+  makeFullUpdate: () => CrashUpdate;
   /** What is known of requests with several ends, for a box that counts its own alone. */
-  listSharedNews: () => CrashNews;
+  makeSharedUpdate: () => CrashUpdate;
   countBlocked: () => number;
 }>;
 
 /** Creates a guard that suspects nothing. */
 export const createRequestGuard = (options: RequestGuardOptions): RequestGuard => {
-  const { clock, limits, onOwnNews, onSharedNews, onBlocked, onReleased } = options;
-  const book = createEndBook(limits);
+  const { clock, limits, onOwnUpdate, onSharedUpdate, onBlocked, onReleased } = options;
+  const book = createCrashRegistry(limits);
   const getNow = () => clock.monotonic();
   const isBlocked = (digest: RequestDigest) =>
-    book.judge(digest, getNow()).kind === "blocked";
+    book.getStatus(digest, getNow()).kind === "blocked";
 
-  const toTold = ({ digest, server, at }: RequestEnd): ToldEnd => ({
+  const toTold = ({ digest, server, at }: ServerCrash): SharedCrash => ({
     digest,
     server,
     age: Math.max(0, getNow() - at) as Ms,
   });
   const listTold = (digest: RequestDigest) => book.listEnds(digest).map(toTold);
 
-  const add = (end: RequestEnd, isOwn: boolean): boolean => {
+  const add = (end: ServerCrash, isOwn: boolean): boolean => {
     const { digest } = end;
     const wasBlocked = isBlocked(digest);
     if (!book.add(end, getNow())) return false;
-    const standing = book.judge(digest, getNow());
+    const standing = book.getStatus(digest, getNow());
     if (!wasBlocked && standing.kind === "blocked")
       onBlocked({ digest, ends: listTold(digest), left: standing.left, isOwn });
     return true;
@@ -98,21 +98,21 @@
   const isShared = (digest: RequestDigest) => book.listEnds(digest).length >= SHARED_ENDS;
   const listShared = (digests: Iterable<RequestDigest>) =>
     [...digests].filter(isShared).flatMap(listTold);
-  const tellShared = (news: CrashNews) => {
-    if (news.ends.length + news.served.length > 0) onSharedNews(news);
+  const tellShared = (news: CrashUpdate) => {
+    if (news.ends.length + news.served.length > 0) onSharedUpdate(news);
   };
 
   return {
-    judge: (getDigest, besides) => {
+    getStatus: (getDigest, besides) => {
       const isKnown = !book.isEmpty(getNow()) || (besides?.size ?? 0) > 0;
       return isKnown
-        ? book.judge(getDigest(), getNow(), besides)
+        ? book.getStatus(getDigest(), getNow(), besides)
         : { kind: "unsuspected" };
     },
-    recordEnd: ({ digest, server }) => {
+    recordCrash: ({ digest, server }) => {
       const end = { digest, server, at: getNow() };
       if (!add(end, true)) return;
-      onOwnNews({ ends: [toTold(end)], served: [] });
+      onOwnUpdate({ ends: [toTold(end)], served: [] });
       tellShared({ ends: listShared([digest]), served: [] });
     },
     recordServed: (getDigest) => {
@@ -121,10 +121,10 @@
       const wasShared = isShared(digest);
       if (!release(digest, true)) return;
       const news = { ends: [], served: [digest] };
-      onOwnNews(news);
+      onOwnUpdate(news);
       if (wasShared) tellShared(news);
     },
-    takeNews: ({ ends, served }) => {
+    applyUpdate: ({ ends, served }) => {
       const sharedBefore = new Set(served.filter(isShared));
       const released = served.filter((digest) => release(digest, false));
       const added = ends.filter(({ digest, server, age }) =>
@@ -136,8 +136,8 @@
       });
     },
     release: (digest) => void release(digest, false),
-    listAllNews: () => ({ ends: book.listRequests().flatMap(listTold), served: [] }),
-    listSharedNews: () => ({ ends: listShared(book.listRequests()), served: [] }),
+    makeFullUpdate: () => ({ ends: book.listRequests().flatMap(listTold), served: [] }),
+    makeSharedUpdate: () => ({ ends: listShared(book.listRequests()), served: [] }),
     countBlocked: () => book.listRequests().filter(isBlocked).length,
   };
 };
--- a/packages/crashes/src/types.ts
+++ b/packages/crashes/src/types.ts
@@ -6,7 +6,7 @@
 export type RequestDigest = Brand<string, "RequestDigest">;
 
 /** A server ended while it worked on a request. */
-export type RequestEnd = Readonly<{
+export type ServerCrash = Readonly<{
   digest: RequestDigest;
   server: ServerId;
   /** On the steady clock of the box that keeps it. */
@@ -14,17 +14,17 @@
 }>;
 
 /** The same as one box tells it to another, whose steady clock is another one. */
-export type ToldEnd = Readonly<{ digest: RequestDigest; server: ServerId; age: Ms }>;
+export type SharedCrash = Readonly<{ digest: RequestDigest; server: ServerId; age: Ms }>;
 
 /** What one box tells others of such requests. */
-export type CrashNews = Readonly<{
-  ends: readonly ToldEnd[];
+export type CrashUpdate = Readonly<{
+  ends: readonly SharedCrash[];
   /** Requests that a server has served since: it was not they that ended the servers. */
   served: readonly RequestDigest[];
 }>;
 
 /** How a request stands. */
-export type RequestStanding = Readonly<
+export type RequestStatus = Readonly<
   /** No server is known to have ended under it. */
   | { kind: "unsuspected" }
   /** It may have been aboard by chance: it is served, but not sent on by the box itself once two servers have ended. */
--- a/packages/diagnosis/src/plotLosses.ts
+++ b/packages/diagnosis/src/plotLosses.ts
@@ -11,7 +11,7 @@
 const LABEL_PX = 320;
 
 /** Rows of the picture; routes beyond the worst share the last one. */
-const MOST_ROWS = 6;
+const MAX_ROWS = 6;
 const OTHER_ROUTES = "(other routes)";
 
 type Point = Readonly<{ route: string; cause: string; second: number }>;
@@ -30,8 +30,8 @@
 
 const groupOthers = (points: readonly Point[]): readonly Point[] => {
   const ranked = rankRoutes(points);
-  if (ranked.length <= MOST_ROWS) return points;
-  const shown = new Set(ranked.slice(0, MOST_ROWS - 1));
+  if (ranked.length <= MAX_ROWS) return points;
+  const shown = new Set(ranked.slice(0, MAX_ROWS - 1));
   return points.map((point) =>
     shown.has(point.route) ? point : { ...point, route: OTHER_ROUTES },
   );
--- a/packages/directory/src/leavingReasons.ts
+++ b/packages/directory/src/leavingReasons.ts
@@ -2,9 +2,9 @@
 import type { LeavingReason } from "./types.js";
 
 /** What a mark rests on: the server's own word, an entry that is not there, or what a box has concluded. */
-export type LeavingBasis = "own_word" | "entry_gone" | "concluded";
+export type LeavingEvidence = "own_word" | "entry_gone" | "concluded";
 
-const BASIS: Readonly<Record<LeavingReason, LeavingBasis>> = {
+const BASIS: Readonly<Record<LeavingReason, LeavingEvidence>> = {
   entry_says_leaving: "own_word",
   report: "own_word",
   answer_says_leaving: "own_word",
@@ -16,7 +16,8 @@
 };
 
 /** Gives what the reason rests on. */
-export const getLeavingBasis = (reason: LeavingReason): LeavingBasis => BASIS[reason];
+export const getLeavingEvidence = (reason: LeavingReason): LeavingEvidence =>
+  BASIS[reason];
 
 /** Whether the server's entry, once it is there again, takes the mark back. */
 export const isTakenBack = (reason: LeavingReason): boolean =>
@@ -28,5 +29,5 @@
 };
 
 /** Whether a reason outlasts the one known. */
-export const isFirmer = (reason: LeavingReason, known: LeavingReason): boolean =>
+export const isStronger = (reason: LeavingReason, known: LeavingReason): boolean =>
   computeFirmness(reason) > computeFirmness(known);
--- a/packages/directory/src/serverDirectory.ts
+++ b/packages/directory/src/serverDirectory.ts
@@ -1,6 +1,6 @@
 /** The list of backend servers, changed through entries and marks only. */
 import type { DataHallName, Ms, ServiceName } from "@stairgauge/common";
-import { getLeavingBasis, isFirmer, isTakenBack } from "./leavingReasons.js";
+import { getLeavingEvidence, isStronger, isTakenBack } from "./leavingReasons.js";
 import type {
   BackendServer,
   LeavingReason,
@@ -53,7 +53,7 @@
 }>;
 
 /** Starts that are no longer listed here, of which it is leftBefore that they leave. */
-const MOST_LEFT_BEFORE = 4_096;
+const MAX_LEFT_BEFORE = 4_096;
 
 const isSameEntry = (a: ServerEntry, b: ServerEntry): boolean =>
   a.service === b.service &&
@@ -78,7 +78,7 @@
   entry.startedAt === undefined &&
   other.startedAt !== undefined &&
   leaving !== undefined &&
-  getLeavingBasis(leaving.reason) === "own_word";
+  getLeavingEvidence(leaving.reason) === "own_word";
 
 /** Creates an empty directory. */
 export const createServerDirectory = (options: DirectoryOptions): ServerDirectory => {
@@ -100,15 +100,15 @@
     [...servers.values()].filter(({ entry }) => entry.name === name);
 
   const recordLeft = (id: ServerId, reason: LeavingReason) => {
-    if (getLeavingBasis(reason) !== "own_word") return;
+    if (getLeavingEvidence(reason) !== "own_word") return;
     leftBefore.set(id, reason);
     const [oldest] = leftBefore.keys();
-    if (leftBefore.size > MOST_LEFT_BEFORE) leftBefore.delete(oldest!);
+    if (leftBefore.size > MAX_LEFT_BEFORE) leftBefore.delete(oldest!);
   };
   const mark = (id: ServerId, reason: LeavingReason, now: Ms) => {
     const server = servers.get(id);
     if (!server) recordLeft(id, reason);
-    if (!server || (server.leaving && !isFirmer(reason, server.leaving.reason))) return;
+    if (!server || (server.leaving && !isStronger(reason, server.leaving.reason))) return;
     const marked = { ...server, leaving: { reason, since: now } };
     servers.set(id, marked);
     onEvent({ kind: "leaving", server: marked });
--- a/packages/entry/src/streamedAnswer.test.ts
+++ b/packages/entry/src/streamedAnswer.test.ts
@@ -15,7 +15,7 @@
 import type { AnswerOver, EntryDeps } from "./types.js";
 
 const SOURCE = { server: "e" as BackendServerName, generation: "g" as GenerationId };
-const MOST_TOKENS = 200_000;
+const MAX_TOKENS = 200_000;
 const EVENT_BYTES = 1_000;
 
 let server: Server;
@@ -66,17 +66,17 @@
 
 /** Hands tokens over until the answer asks to stop; returns how many it took. */
 const writeUntilFull = (answer: ReturnType<typeof createAnswer>["answer"]): number => {
-  for (let index = 0; index < MOST_TOKENS; index += 1) {
+  for (let index = 0; index < MAX_TOKENS; index += 1) {
     if (!answer.sink.onToken(index, " token", SOURCE)) return index + 1;
   }
-  return MOST_TOKENS;
+  return MAX_TOKENS;
 };
 
 describe("createStreamedAnswer", () => {
   it("asks to stop once its caller takes nothing, with bounded memory", async () => {
     const response = await openResponse();
     const { answer } = createAnswer(response);
-    expect(writeUntilFull(answer)).toBeLessThan(MOST_TOKENS);
+    expect(writeUntilFull(answer)).toBeLessThan(MAX_TOKENS);
     expect(response.writableLength).toBeLessThan(MAX_UNSENT_BYTES + EVENT_BYTES);
   });
 
--- a/packages/fleet/src/coldLimits.test.ts
+++ b/packages/fleet/src/coldLimits.test.ts
@@ -21,7 +21,7 @@
 const SERVICE = "writers" as ServiceName;
 const BOUND = { overage: 1.5, slack: 5 };
 const PER_SECOND = 20;
-const MOST_IN_A_SECOND = PER_SECOND * BOUND.overage + BOUND.slack;
+const MAX_IN_A_SECOND = PER_SECOND * BOUND.overage + BOUND.slack;
 /** Longest that a place may be on its way to the box that asked, and a request to its server. */
 const PLACE_MS = 150;
 const CONNECT_MS = 250;
@@ -152,7 +152,7 @@
             mostPlaceDelayMs: 2 * PLACE_MS,
             durationMs: 4_000,
           });
-          expect(countMostInASecond(arrivals)).toBeLessThanOrEqual(MOST_IN_A_SECOND);
+          expect(countMostInASecond(arrivals)).toBeLessThanOrEqual(MAX_IN_A_SECOND);
         }),
         { seed: 11, numRuns: size.boxes > 100 ? 4 : 15 },
       );
--- a/packages/fleet/src/coldLimits.ts
+++ b/packages/fleet/src/coldLimits.ts
@@ -6,7 +6,7 @@
 import type { ServerId } from "@stairgauge/directory";
 import { createSendRate, type FleetPlaces } from "@stairgauge/placement";
 import type { WarmUp } from "@stairgauge/routing";
-import type { ColdSpells } from "./coldSpells.js";
+import type { ColdPeriods } from "./coldPeriods.js";
 
 /** What all boxes together may send to a cold server in a second: `perSecond * overage + slack`. */
 export type ColdBound = Readonly<{ overage: number; slack: number }>;
@@ -18,7 +18,7 @@
   /** The longest time from a placement to its request being sent. */
   sendWithin: Ms;
   places: Pick<FleetPlaces, "computePart">;
-  spells: Pick<ColdSpells, "mayBeCold">;
+  spells: Pick<ColdPeriods, "mayBeCold">;
   findWarmUp: (service: ServiceName) => WarmUp | undefined;
   /** Whether boxes that place for others place the service's requests. */
   isPlacedByHubs: (service: ServiceName) => boolean;
--- a/packages/fleet/src/coldSpells.test.ts
+++ b/packages/fleet/src/coldPeriods.test.ts
@@ -7,7 +7,7 @@
   type ServiceName,
 } from "@stairgauge/common";
 import type { BackendServer, ServerId, ServerName } from "@stairgauge/directory";
-import { createColdSpells } from "./coldSpells.js";
+import { createColdPeriods } from "./coldPeriods.js";
 
 const makeServer = (id: string, hall = "a", warmUpLeft = 0): BackendServer => ({
   entry: {
@@ -27,7 +27,7 @@
 const setUp = (duration: number | undefined = 1_000) => {
   const clock = createVirtualClock();
   const servers: BackendServer[] = [];
-  const spells = createColdSpells({
+  const spells = createColdPeriods({
     clock,
     findWarmUp: () =>
       duration === undefined ? undefined : { duration: duration as Ms, perSecond: 20 },
@@ -107,7 +107,7 @@
 
   it("knows no cold server where services bear all that they can from their start on", () => {
     const clock = createVirtualClock();
-    const spells = createColdSpells({
+    const spells = createColdPeriods({
       clock,
       findWarmUp: () => undefined,
       listServers: () => [],
--- a/packages/fleet/src/coldSpells.ts
+++ b/packages/fleet/src/coldPeriods.ts
@@ -7,7 +7,7 @@
 import type { WarmUp } from "@stairgauge/routing";
 
 /** What judging needs. */
-export type ColdSpellsOptions = Readonly<{
+export type ColdPeriodsOptions = Readonly<{
   clock: Clock;
   /** How the servers of a service warm up; undefined where they don't. */
   findWarmUp: (service: ServiceName) => WarmUp | undefined;
@@ -15,7 +15,7 @@
 }>;
 
 /** The servers that may be cold. */
-export type ColdSpells = Readonly<{
+export type ColdPeriods = Readonly<{
   mayBeCold: (server: ServerId) => boolean;
   /** A server has come, or its entry is back. */
   onJoined: (entry: ServerEntry) => void;
@@ -33,7 +33,7 @@
 const AWAY_MS = 1_000;
 
 /** Creates the judge; it knows of no server that is cold. */
-export const createColdSpells = (options: ColdSpellsOptions): ColdSpells => {
+export const createColdPeriods = (options: ColdPeriodsOptions): ColdPeriods => {
   const { clock, findWarmUp, listServers } = options;
   const coldUntil = new Map<ServerId, number>();
   let isListRead = false;
--- a/packages/fleet/src/createPlacer.ts
+++ b/packages/fleet/src/createPlacer.ts
@@ -9,7 +9,7 @@
 import type { BackendServer, ServerDirectory, ServerId } from "@stairgauge/directory";
 import type { ActiveRun, Placer } from "@stairgauge/forwarding";
 import type { ServerLimits } from "@stairgauge/limits";
-import type { ServerRests } from "@stairgauge/rests";
+import type { ServerRests } from "@stairgauge/backoffs";
 import {
   chooseServer,
   estimateEngineLoad,
@@ -24,14 +24,14 @@
   type RivalRate,
 } from "@stairgauge/placement";
 import type { ColdLimits } from "./coldLimits.js";
-import type { ColdSpells } from "./coldSpells.js";
-import { judgeStanding } from "./judgeStanding.js";
+import type { ColdPeriods } from "./coldPeriods.js";
+import { getServerStatus } from "./getServerStatus.js";
 import { createSuspects } from "./suspects.js";
 
 /** What placing asks of the limits that servers name. */
 export type PlacingLimits = Pick<
   ServerLimits,
-  "findAllowance" | "isLimited" | "recordArrival" | "recordSent" | "sift"
+  "findAllowance" | "isLimited" | "recordArrival" | "recordSent" | "filter"
 >;
 
 /** What placing asks of the rests that servers want of this box. */
@@ -54,7 +54,7 @@
   getConnectionShare: (service: ServiceName) => number;
   rivals: Pick<RivalRate, "estimate">;
   cold: Pick<ColdLimits, "mayTake" | "record">;
-  spells: Pick<ColdSpells, "mayBeCold" | "onUnreachable">;
+  spells: Pick<ColdPeriods, "mayBeCold" | "onUnreachable">;
   limits: PlacingLimits;
   rests: PlacingRests;
   /** A server broke a request of this box off before it answered. */
@@ -158,7 +158,7 @@
     );
     const warm = untried.filter(({ entry }) => cold.mayTake(entry.id, service));
     const awake = whose === "own" ? warm.filter(isAwake) : warm;
-    const sifted = limits.sift({ service, tier: demand.tier }, awake);
+    const sifted = limits.filter({ service, tier: demand.tier }, awake);
     return { ready, untried, warm, awake, sifted };
   };
   const toPlacementLimit = ({ entry }: BackendServer): PlacementLimit | undefined => {
@@ -259,7 +259,7 @@
     isInRegions,
     isHallClosed: ({ entry }) => directory.isHallClosed(entry.dataHall),
     getStanding: ({ entry }) =>
-      judgeStanding({ directory, book }, entry.id, clock.monotonic()),
+      getServerStatus({ directory, book }, entry.id, clock.monotonic()),
     isAlive: async (server) => {
       const answers = await options.isAlive(server);
       if (!answers) markUnreachable(server);
--- a/packages/fleet/src/judgeStanding.test.ts
+++ b/packages/fleet/src/getServerStatus.test.ts
@@ -7,7 +7,7 @@
   type ServerName,
 } from "@stairgauge/directory";
 import { createLoadBook } from "@stairgauge/placement";
-import { judgeStanding } from "./judgeStanding.js";
+import { getServerStatus } from "./getServerStatus.js";
 
 const SERVER = "a" as ServerId;
 
@@ -42,14 +42,14 @@
     ["gone", "address_reused"],
     ["gone", "started_again"],
   ])("says %s since the mark %s", (kind, reason) => {
-    const standing = judgeStanding(makeSources(reason), SERVER, 350 as Ms);
+    const standing = getServerStatus(makeSources(reason), SERVER, 350 as Ms);
     expect(standing).toEqual({ kind, age: 250 });
   });
 
   it("says gone, without an age, of a server that is forgotten", () => {
     const { directory, book } = makeSources("report");
     directory.dropForgotten(1_200 as Ms);
-    expect(judgeStanding({ directory, book }, SERVER, 1_300 as Ms)).toEqual({
+    expect(getServerStatus({ directory, book }, SERVER, 1_300 as Ms)).toEqual({
       kind: "gone",
       age: undefined,
     });
@@ -58,7 +58,7 @@
   it("gives the age of the last report of a server that is ready", () => {
     const { directory, book } = makeSources();
     const ready = { directory, book };
-    expect(judgeStanding(ready, SERVER, 50 as Ms)).toEqual({
+    expect(getServerStatus(ready, SERVER, 50 as Ms)).toEqual({
       kind: "ready",
       age: undefined,
     });
@@ -74,6 +74,6 @@
       runs: [],
     };
     book.putReport(SERVER, report, 40 as Ms);
-    expect(judgeStanding(ready, SERVER, 70 as Ms)).toEqual({ kind: "ready", age: 30 });
+    expect(getServerStatus(ready, SERVER, 70 as Ms)).toEqual({ kind: "ready", age: 30 });
   });
 });
--- a/packages/fleet/src/judgeStanding.ts
+++ b/packages/fleet/src/getServerStatus.ts
@@ -5,7 +5,7 @@
 import type { LoadBook } from "@stairgauge/placement";
 
 /** Where the knowledge is kept. */
-export type StandingSources = Readonly<{
+export type ServerStatusSources = Readonly<{
   directory: Pick<ServerDirectory, "find">;
   book: Pick<LoadBook, "findReport">;
 }>;
@@ -18,8 +18,8 @@
 ]);
 
 /** Judges by the mark of a server that leaves, and by the last report of one that does not. */
-export const judgeStanding = (
-  { directory, book }: StandingSources,
+export const getServerStatus = (
+  { directory, book }: ServerStatusSources,
   server: ServerId,
   now: Ms,
 ): ServerStanding => {
--- a/packages/fleet/src/placeAtRest.test.ts
+++ b/packages/fleet/src/placeAtRest.test.ts
@@ -51,7 +51,7 @@
     const { placer, rests, limits } = setUp();
     rests.begin(FIRST, REST);
     for (const id of [SECOND, THIRD])
-      limits.takeSign(id, { kind: "named", perSecond: 1 }, 20 as Ms);
+      limits.applySignal(id, { kind: "named", perSecond: 1 }, 20 as Ms);
     // A box that has no place in the list of boxes has no part of a limit.
     expect(placer.choose(SERVICE, PLAIN, NONE)).toMatchObject({
       reason: "servers_limited",
--- a/packages/fleet/src/placing.testkit.ts
+++ b/packages/fleet/src/placing.testkit.ts
@@ -19,7 +19,7 @@
   createRivalRate,
   ENGINE_WAYS,
 } from "@stairgauge/placement";
-import { createServerRests } from "@stairgauge/rests";
+import { createServerRests } from "@stairgauge/backoffs";
 import type { WarmUp } from "@stairgauge/routing";
 import { createColdLimits, createColdSpells, createPlacer } from "./index.js";
 
@@ -75,8 +75,8 @@
     places,
     isPlacedByHubs: () => true,
     isListed: () => true,
-    onOwnNews: () => undefined,
-    onSharedNews: () => undefined,
+    onOwnUpdate: () => undefined,
+    onSharedUpdate: () => undefined,
     onEvent: () => undefined,
   });
   const placer = createPlacer({
--- a/packages/fleet/src/pollReports.ts
+++ b/packages/fleet/src/pollReports.ts
@@ -40,7 +40,7 @@
 const LOOK_MS = 500;
 
 /** Draws the pauses apart, so that boxes do not ask in step. */
-const LEAST_PAUSE = 0.75;
+const MIN_PAUSE = 0.75;
 const PAUSE_RANGE = 0.5;
 
 /** An engine that has started again under its name and address knows nothing of what ran there before. */
@@ -68,7 +68,7 @@
     return read.val;
   };
 
-  const computeRandomShare = () => LEAST_PAUSE + random.nextFloat() * PAUSE_RANGE;
+  const computeRandomShare = () => MIN_PAUSE + random.nextFloat() * PAUSE_RANGE;
 
   const schedule = (id: ServerId) => {
     const pause = Math.min(LOOK_MS, getInterval()) * computeRandomShare();
--- a/packages/fleet/src/restoreRules.test.ts
+++ b/packages/fleet/src/restoreRules.test.ts
@@ -39,7 +39,7 @@
 
   it("proves no life where it was dropped, until it would have lapsed", () => {
     const entry = makeRow("a", { leaving: false });
-    expect(rules.judgeDropped(entry)).toEqual({ kind: "take_after", duration: 6_000 });
+    expect(rules.resolveDropped(entry)).toEqual({ kind: "take_after", duration: 6_000 });
   });
 });
 
@@ -62,14 +62,14 @@
     expect(rules.isUndone(known, makeRow("config", { version: 57 }))).toBe(false);
     expect(rules.isUndone(known, makeRow("config", { version: 58 }))).toBe(false);
     expect(rules.isUndone(known, makeRow("config", {}))).toBe(false);
-    expect(rules.judgeMissing(known)).toEqual({ kind: "keep" });
+    expect(rules.resolveMissing(known)).toEqual({ kind: "keep" });
   });
 
   it("open no hall for a while, and close one that was opened until its row is dropped again", () => {
     const closing = makeRow("closed/a", {});
     expect(rules.isUndone(closing, closing)).toBe(false);
-    expect(rules.judgeMissing(closing)).toEqual({ kind: "keep_for", duration: 10_000 });
-    expect(rules.judgeDropped(closing)).toEqual({ kind: "take" });
-    expect(rules.judgeMissing(makeRow("other", {}))).toEqual({ kind: "drop" });
+    expect(rules.resolveMissing(closing)).toEqual({ kind: "keep_for", duration: 10_000 });
+    expect(rules.resolveDropped(closing)).toEqual({ kind: "take" });
+    expect(rules.resolveMissing(makeRow("other", {}))).toEqual({ kind: "drop" });
   });
 });
--- a/packages/fleet/src/restoreRules.ts
+++ b/packages/fleet/src/restoreRules.ts
@@ -33,9 +33,9 @@
     return before.ok && after.ok && isEarlierState(after.val, before.val);
   },
   // The list of servers itself waits for entries that are missing after the store was away.
-  judgeMissing: () => ({ kind: "drop" }),
+  resolveMissing: () => ({ kind: "drop" }),
   // The copied entry of a server that has ended looks like that of one that lives.
-  judgeDropped: () => ({ kind: "take_after", duration: LAPSED_AFTER_MS }),
+  resolveDropped: () => ({ kind: "take_after", duration: LAPSED_AFTER_MS }),
 });
 
 /** How the operators' rows are told apart and decoded. */
@@ -64,12 +64,12 @@
       // Operators number configurations themselves, over all eras.
       return before !== undefined && after !== undefined && after < before;
     },
-    judgeMissing: (row) => {
+    resolveMissing: (row) => {
       if (row.key === key) return { kind: "keep" };
       if (decodeHall(row.key) === undefined) return { kind: "drop" };
       return { kind: "keep_for", duration: HALL_KEPT_MS };
     },
     // A hall that was opened is closed again until its row is dropped again: nothing is sent where it may not be.
-    judgeDropped: () => ({ kind: "take" }),
+    resolveDropped: () => ({ kind: "take" }),
   };
 };
--- a/packages/fleet/src/restoredServers.test.ts
+++ b/packages/fleet/src/restoredServers.test.ts
@@ -13,7 +13,7 @@
 const BOUND_MS = 2_000;
 
 /** A store that has just come back is asked again after this pause at most; until then a box can't hear of it. */
-const MOST_PAUSE_MS = 750;
+const MAX_PAUSE_MS = 750;
 
 const LAST_EVENT_MS = 14_000;
 
@@ -69,9 +69,9 @@
           const hasLeft = new Set<number>();
           const computeBound = (leftAt: number) => {
             const isJustBack = drills.some(
-              ({ from, until }) => leftAt >= from && leftAt < until + MOST_PAUSE_MS,
+              ({ from, until }) => leftAt >= from && leftAt < until + MAX_PAUSE_MS,
             );
-            return leftAt + BOUND_MS + (isJustBack ? MOST_PAUSE_MS : 0);
+            return leftAt + BOUND_MS + (isJustBack ? MAX_PAUSE_MS : 0);
           };
           const end = LAST_EVENT_MS + QUIET_MS;
           for (let now = 0; now < end; now += STEP_MS) {
--- a/packages/fleet/src/suspects.ts
+++ b/packages/fleet/src/suspects.ts
@@ -16,10 +16,10 @@
  * doubles it, so that one that does so for 7 s got 5 of 269 placements of a replay, and 192 without.
  */
 const FIRST_BREAK_MS = 500;
-const MOST_BREAK_MS = 8_000;
+const MAX_BREAK_MS = 8_000;
 
 /** With more of the servers than this breaking requests off, it is the box's own connections that break. */
-const MOST_BROKEN_SHARE = 0.5;
+const MAX_BROKEN_SHARE = 0.5;
 
 /** The servers under suspicion. */
 export type Suspects = Readonly<{
@@ -43,7 +43,7 @@
     const whole = servers.filter(
       ({ entry }) => (breaks.get(entry.id)?.until ?? -Infinity) <= now,
     );
-    return whole.length >= servers.length * MOST_BROKEN_SHARE ? whole : servers;
+    return whole.length >= servers.length * MAX_BROKEN_SHARE ? whole : servers;
   };
   const passOverLost = (servers: readonly BackendServer[]) => {
     if (until.size === 0) return servers;
@@ -53,7 +53,7 @@
   const dropOld = (now: Ms) => {
     for (const [id, end] of until) if (end <= now) until.delete(id);
     for (const [id, { until: end }] of breaks)
-      if (end + MOST_BREAK_MS <= now) breaks.delete(id);
+      if (end + MAX_BREAK_MS <= now) breaks.delete(id);
   };
 
   return {
@@ -63,7 +63,7 @@
       // Requests that were under way together break together: that is once.
       if (known && now < known.until) return;
       const count = (known?.count ?? 0) + 1;
-      const pause = Math.min(MOST_BREAK_MS, FIRST_BREAK_MS * 2 ** (count - 1));
+      const pause = Math.min(MAX_BREAK_MS, FIRST_BREAK_MS * 2 ** (count - 1));
       breaks.set(id, { count, until: now + pause });
     },
     removeBreaks: (id) => void breaks.delete(id),
--- a/packages/forwarding/src/answerHead.testkit.ts
+++ b/packages/forwarding/src/answerHead.testkit.ts
@@ -1,5 +1,5 @@
 /** A server's answer head as tests need one. */
-import { NO_SIGNS } from "@stairgauge/signs";
+import { NO_SIGNS } from "@stairgauge/signals";
 import type { AnswerHead } from "./types.js";
 
 /** Makes the head of a sound answer with a length, with the changes given. */
--- a/packages/forwarding/src/answerSink.ts
+++ b/packages/forwarding/src/answerSink.ts
@@ -9,7 +9,7 @@
 import type { AdmittedRequest } from "./forwarderTypes.js";
 import { judgeEnd, judgeEndBy, type EndProof } from "./judgeEnd.js";
 import type { EndedBy, ExchangeSink } from "./openExchange.js";
-import type { LegStep, StreamRelay } from "./streamRelay.js";
+import type { SegmentStep, StreamRelay } from "./streamRelay.js";
 import type { AnswerHead, ExchangeFailure, HeadCodec } from "./types.js";
 
 /** An answer longer than this is passed on as it comes, since it cannot be held. */
@@ -56,7 +56,7 @@
     attempt.reason = reason;
     listener.onHead(answerHead);
     if (isStreamOf(request, answerHead)) {
-      const leg = relay.beginLeg(answerHead.passedOn, reason);
+      const leg = relay.beginSegment(answerHead.passedOn, reason);
       attempt.body = { kind: "stream", leg };
       listener.onStreamBegun();
       return;
@@ -96,7 +96,7 @@
         assertNever(body);
     }
   };
-  const takeStep = (step: LegStep) => {
+  const takeStep = (step: SegmentStep) => {
     switch (step.kind) {
       case "held":
         return;
--- a/packages/forwarding/src/askServer.ts
+++ b/packages/forwarding/src/askServer.ts
@@ -1,7 +1,7 @@
 /** Asks a server whether it is still there, by its health path: another process at its address says who it is. */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { ServerEntry } from "@stairgauge/directory";
-import type { ServerSigns } from "@stairgauge/signs";
+import type { ServerSignals } from "@stairgauge/signals";
 import { openExchange } from "./openExchange.js";
 import type { AnswerHead, HeadCodec } from "./types.js";
 
@@ -12,7 +12,7 @@
       /** Its start, where it says so. */
       startedAt: Ms | undefined;
       /** What it says of itself. */
-      signs: ServerSigns;
+      signs: ServerSignals;
     }
   | { kind: "absent"; cause: AbsenceCause; detail: string }
 >;
@@ -24,7 +24,7 @@
 const ANSWER_LIMIT_MS = 1_000 as Ms;
 
 /** Bytes of an answer's body that are read; what a server says of itself comes first. */
-const MOST_BODY_BYTES = 4_096;
+const MAX_BODY_BYTES = 4_096;
 
 /** Whom to ask, and how. */
 export type ServerQuestion = Readonly<{
@@ -96,7 +96,7 @@
         },
         onData: (chunk) => {
           body = Buffer.concat([body, chunk]);
-          if (body.length > MOST_BODY_BYTES) finishBy("an answer too long");
+          if (body.length > MAX_BODY_BYTES) finishBy("an answer too long");
         },
         onEnd: () => finishBy("no answer"),
         onFailure: ({ detail }) => finishBy(detail),
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -4,7 +4,7 @@
 import type { Demand } from "@stairgauge/placement";
 import type { ClientAnswer } from "./clientAnswer.js";
 import type { EndedBy, Exchange } from "./openExchange.js";
-import type { StreamLeg } from "./streamRelay.js";
+import type { StreamSegment } from "./streamRelay.js";
 import type { AnswerHead, RawHeaders } from "./types.js";
 
 /** Where the body of an attempt's answer goes; nothing of it reaches the client by another way. */
@@ -14,7 +14,7 @@
   /** It is too long to be held and goes out as it comes. */
   | { kind: "passed_on" }
   /** Whole events go out. */
-  | { kind: "stream"; leg: StreamLeg }
+  | { kind: "stream"; leg: StreamSegment }
 >;
 
 /** The attempt's state; only the dispatch that made it changes it. */
--- a/packages/forwarding/src/computeClientConnections.ts
+++ b/packages/forwarding/src/computeClientConnections.ts
@@ -7,11 +7,11 @@
 const DESCRIPTORS_EACH = 2;
 
 /** Connections taken even where the limit is very low. */
-const LEAST_CONNECTIONS = 16;
+const MIN_CONNECTIONS = 16;
 
 /** Computes the bound; a connection beyond it is closed unread, so that its client finds another box. */
 export const computeClientConnections = (descriptors: number): number =>
   Math.max(
-    LEAST_CONNECTIONS,
+    MIN_CONNECTIONS,
     Math.floor((descriptors - KEPT_DESCRIPTORS) / DESCRIPTORS_EACH),
   );
--- a/packages/forwarding/src/createForwarder.ts
+++ b/packages/forwarding/src/createForwarder.ts
@@ -117,11 +117,15 @@
 
     const admit = (body: Buffer) => {
       const now = clock.monotonic();
-      const access = decideAccess(configuration.getIndex(), configuration.getStanding(), {
-        host: head.host,
-        path: head.target,
-        key: head.key,
-      });
+      const access = decideAccess(
+        configuration.getIndex(),
+        configuration.getServerStatus(),
+        {
+          host: head.host,
+          path: head.target,
+          key: head.key,
+        },
+      );
       route = access.route;
       if (access.kind === "refused") {
         refuse(STATUS_OF_REFUSAL[access.reason], access.reason);
--- a/packages/forwarding/src/describeBytesEnd.ts
+++ b/packages/forwarding/src/describeBytesEnd.ts
@@ -2,14 +2,14 @@
 import type { Ms } from "@stairgauge/common";
 import { describeEnd, type AttemptEnd } from "./decideNext.js";
 import type { EndedBy } from "./openExchange.js";
-import type { StreamLeg, StreamRelay } from "./streamRelay.js";
+import type { StreamSegment, StreamRelay } from "./streamRelay.js";
 import type { AnswerHead } from "./types.js";
 
 /** How a server's answer says where it ends; `none`: it has no body, and ends with its head. */
 export type Framing = "length" | "chunks" | "connection" | "none";
 
 /** What a box knows of a server. */
-export type ServerStanding = Readonly<{
+export type ServerStatus = Readonly<{
   /** `leaving`: gets no new work; `gone`: has no entry, or another server has its address. */
   kind: "ready" | "leaving" | "gone";
   /** How long ago the box heard it, by a mark or the last report; undefined when neither is kept. */
@@ -31,7 +31,7 @@
   bytesLeft: number;
   /** How often the stream had gone on elsewhere. */
   continuations: number;
-  serverStanding: ServerStanding["kind"];
+  serverStanding: ServerStatus["kind"];
   /** How old the knowledge behind `serverStanding` was, in milliseconds. */
   standingAgeMs: Ms | undefined;
 }>;
@@ -42,9 +42,9 @@
   /** Undefined while the answer has not ended without an error. */
   endedBy: EndedBy | undefined;
   closing: BytesClosing;
-  relay: Pick<StreamRelay, "getLastEventId"> & Pick<StreamLeg, "countBytesLeft">;
+  relay: Pick<StreamRelay, "getLastEventId"> & Pick<StreamSegment, "countBytesLeft">;
   continuations: number;
-  standing: ServerStanding;
+  standing: ServerStatus;
 }>;
 
 /** Derives the framing from what the head says of its body, and from what ended that. */
--- a/packages/forwarding/src/forwarderTypes.ts
+++ b/packages/forwarding/src/forwarderTypes.ts
@@ -10,12 +10,12 @@
   Standing,
   WorkspaceSpec,
 } from "@stairgauge/routing";
-import type { HeardSigns } from "@stairgauge/signs";
+import type { HeardSigns } from "@stairgauge/signals";
 import type { ActiveRun, ActiveRuns, RunKeeper } from "./activeRuns.js";
 import type { ClientAnswer } from "./clientAnswer.js";
-import type { BytesEnd, Framing, ServerStanding } from "./describeBytesEnd.js";
-import type { PlaceAdviser } from "./placeByAdvice.js";
-import type { WaitingRoom } from "./waitingRoom.js";
+import type { BytesEnd, Framing, ServerStatus } from "./describeBytesEnd.js";
+import type { PlacementAdvisor } from "./placeByAdvice.js";
+import type { WaitQueue } from "./waitQueue.js";
 import type { RetryBudget } from "./retryBudget.js";
 import type { ServerAsker } from "./createServerAsker.js";
 import type { ServerEnd, ServerEnds } from "./serverEnds.js";
@@ -24,7 +24,7 @@
 /** What is known when a request comes. */
 export type ConfigurationView = Readonly<{
   getIndex: () => ConfigurationIndex | undefined;
-  getStanding: () => Standing;
+  getServerStatus: () => Standing;
   getAge: () => Ms;
 }>;
 
@@ -147,7 +147,7 @@
   /** Whether a server gets no new work, as known now. */
   isLeaving: (server: BackendServer) => boolean;
   /** What is known of a server now. */
-  getStanding: (server: BackendServer) => ServerStanding;
+  getStanding: (server: BackendServer) => ServerStatus;
   /** The server's address belongs to another one now. */
   onAddressReused: (server: BackendServer) => void;
   /** No connection came up: the server may be dead, though its entry still stands. */
@@ -173,10 +173,10 @@
   placer: Placer;
   budget: RetryBudget;
   runs: ActiveRuns;
-  waitingRoom: WaitingRoom;
-  adviser: PlaceAdviser;
+  waitingRoom: WaitQueue;
+  adviser: PlacementAdvisor;
   runKeeper: RunKeeper;
-  guard: Pick<RequestGuard, "judge" | "recordEnd" | "recordServed">;
+  guard: Pick<RequestGuard, "getStatus" | "recordCrash" | "recordServed">;
   /** Takes what a server says of itself in an answer. */
   takeSigns: (heard: HeardSigns) => void;
   observer: ForwardObserver;
--- a/packages/forwarding/src/guardCall.test.ts
+++ b/packages/forwarding/src/guardCall.test.ts
@@ -19,8 +19,8 @@
   const guard = createRequestGuard({
     clock,
     limits: { blockingEnds: 3, memory: 60_000 as Ms },
-    onOwnNews: () => undefined,
-    onSharedNews: () => undefined,
+    onOwnUpdate: () => undefined,
+    onSharedUpdate: () => undefined,
     onBlocked: () => undefined,
     onReleased: () => undefined,
   });
--- a/packages/forwarding/src/guardCall.ts
+++ b/packages/forwarding/src/guardCall.ts
@@ -54,11 +54,11 @@
   const brokeOff = new Set<ServerId>();
 
   const findBlock = () => {
-    const standing = guard.judge(getDigest);
+    const standing = guard.getStatus(getDigest);
     return standing.kind === "blocked" ? standing.left : undefined;
   };
   const mayRepeat = () => {
-    const standing = guard.judge(getDigest, brokeOff);
+    const standing = guard.getStatus(getDigest, brokeOff);
     return standing.kind === "unsuspected" || standing.ends < ENDS_TO_STOP_REPEATS;
   };
 
@@ -73,7 +73,7 @@
     const end = await serverEnds.judge(server);
     const digest = getDigest();
     if (end.verdict !== "ended") brokeOff.delete(id);
-    else if (mayHaveEnded(run)) guard.recordEnd({ digest, server: id });
+    else if (mayHaveEnded(run)) guard.recordCrash({ digest, server: id });
     tellBroke(server, { ...end, ...run, digest, aboard });
   };
 
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -8,7 +8,7 @@
   ForwardObserver,
   Placer,
 } from "./forwarderTypes.js";
-export type { Framing, ServerStanding } from "./describeBytesEnd.js";
+export type { Framing, ServerStatus as ServerStanding } from "./describeBytesEnd.js";
 export { createActiveRuns } from "./activeRuns.js";
 export type {
   ActiveRun,
@@ -26,7 +26,11 @@
 export { computeClientConnections } from "./computeClientConnections.js";
 export { computePlacingTerms, hasRoomFor, placeWithRoom } from "./placeWithRoom.js";
 export type { PlacingTerms } from "./placeWithRoom.js";
-export type { Advice, AdviceRequest, PlaceAdviser } from "./placeByAdvice.js";
-export { createWaitingRoom } from "./waitingRoom.js";
-export type { Waiting, WaitingRoom } from "./waitingRoom.js";
+export type {
+  Advice,
+  AdviceRequest,
+  PlacementAdvisor as PlaceAdviser,
+} from "./placeByAdvice.js";
+export { createWaitQueue as createWaitingRoom } from "./waitQueue.js";
+export type { Waiting, WaitQueue as WaitingRoom } from "./waitQueue.js";
 export { computeSlackShare } from "./computeSlackShare.js";
--- a/packages/forwarding/src/judgeEnd.test.ts
+++ b/packages/forwarding/src/judgeEnd.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { NO_SIGNS } from "@stairgauge/signs";
+import { NO_SIGNS } from "@stairgauge/signals";
 import { judgeEnd, judgeEndBy, type EndedAnswer } from "./judgeEnd.js";
 
 const makeEnded = (changes: Partial<EndedAnswer>): EndedAnswer => ({
--- a/packages/forwarding/src/placeByAdvice.test.ts
+++ b/packages/forwarding/src/placeByAdvice.test.ts
@@ -16,7 +16,7 @@
   type PlaceableRequest,
 } from "./placeByAdvice.js";
 import type { ClientRequestId } from "./types.js";
-import { createWaitingRoom } from "./waitingRoom.js";
+import { createWaitQueue } from "./waitQueue.js";
 
 const makeDecision = (reason: "only_one" | "least_busy"): PlacementDecision => ({
   kind: "placed",
@@ -51,7 +51,7 @@
   };
   const deps = {
     clock,
-    waitingRoom: createWaitingRoom(clock),
+    waitingRoom: createWaitQueue(clock),
     adviser: {
       isNeeded: () => changes.isNeeded ?? true,
       ask: ({ urgency }: AdviceRequest) => {
--- a/packages/forwarding/src/placeByAdvice.ts
+++ b/packages/forwarding/src/placeByAdvice.ts
@@ -29,7 +29,7 @@
 >;
 
 /** Who is asked. */
-export type PlaceAdviser = Readonly<{
+export type PlacementAdvisor = Readonly<{
   /** Whether another box sees more than this one. */
   isNeeded: () => boolean;
   /** Undefined when no advice came in time. */
--- a/packages/forwarding/src/placeWithRoom.test.ts
+++ b/packages/forwarding/src/placeWithRoom.test.ts
@@ -4,7 +4,7 @@
 import type { PlacementDecision } from "@stairgauge/placement";
 import type { Route } from "@stairgauge/routing";
 import { computePlacingTerms, placeWithRoom } from "./placeWithRoom.js";
-import { createWaitingRoom } from "./waitingRoom.js";
+import { createWaitQueue } from "./waitQueue.js";
 
 const makePlaced = (memoryAfter: number | undefined): PlacementDecision => ({
   kind: "placed",
@@ -40,7 +40,7 @@
 };
 const createRoom = () => {
   const clock = createVirtualClock();
-  return { clock, waitingRoom: createWaitingRoom(clock) };
+  return { clock, waitingRoom: createWaitQueue(clock) };
 };
 
 describe("placeWithRoom", () => {
--- a/packages/forwarding/src/placeWithRoom.ts
+++ b/packages/forwarding/src/placeWithRoom.ts
@@ -8,7 +8,7 @@
   ForwardDecision,
   ForwarderDeps,
 } from "./forwarderTypes.js";
-import type { WaitingRoom } from "./waitingRoom.js";
+import type { WaitQueue } from "./waitQueue.js";
 
 /** Share of an engine's memory that may be spoken for, outputs to come included, before newcomers wait. */
 const FULL_MEMORY = 0.95;
@@ -63,7 +63,7 @@
 
 /** Whether a request may go where a choice says, or has to wait. */
 export const hasRoomFor = (
-  waitingRoom: WaitingRoom,
+  waitingRoom: WaitQueue,
   { service, tier }: Pick<PlacingTerms, "service" | "tier">,
   decision: PlacementDecision,
 ): boolean => {
--- a/packages/forwarding/src/recordServerSigns.test.ts
+++ b/packages/forwarding/src/recordServerSigns.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from "vitest";
 import type { Ms } from "@stairgauge/common";
-import { NO_SIGNS, type HeardSigns, type ServerSigns } from "@stairgauge/signs";
+import { NO_SIGNS, type HeardSigns, type ServerSignals } from "@stairgauge/signals";
 import { makeAnswerHead } from "./answerHead.testkit.js";
 import { recordServerSigns } from "./recordServerSigns.js";
 import { makeServer } from "./server.testkit.js";
 import type { AnswerHead, ClientRequestId } from "./types.js";
 
 const SERVER = makeServer("page-1");
-const SIGNS: ServerSigns = {
+const SIGNS: ServerSignals = {
   ...NO_SIGNS,
   isClosing: true,
   limit: { kind: "named", perSecond: 1.7 },
--- a/packages/forwarding/src/recordServerSigns.ts
+++ b/packages/forwarding/src/recordServerSigns.ts
@@ -16,10 +16,10 @@
 export const recordServerSigns = (
   { placer, takeSigns }: SignListener,
   { server, request, openedAt, answeredAt = openedAt }: AnsweredAttempt,
-  { isOtherServer, status, signs }: AnswerHead,
+  { isOtherServer, status, signs: signals }: AnswerHead,
 ): void => {
   placer.onAnswered(server);
   if (isOtherServer) return;
   const sentAgo = (answeredAt - openedAt) as Ms;
-  takeSigns({ server, signs, source: { kind: "request", request, status, sentAgo } });
+  takeSigns({ server, signals, source: { kind: "request", request, status, sentAgo } });
 };
--- a/packages/forwarding/src/requestTries.test.ts
+++ b/packages/forwarding/src/requestTries.test.ts
@@ -7,7 +7,7 @@
 import { describe, expect, it } from "vitest";
 import { createVirtualClock, type Ms, type ServiceName } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { NO_SIGNS } from "@stairgauge/signs";
+import { NO_SIGNS } from "@stairgauge/signals";
 import type { Route } from "@stairgauge/routing";
 import { createRequestTries, judgeTry, type TryEnd } from "./requestTries.js";
 import { makeServer } from "./server.testkit.js";
--- a/packages/forwarding/src/serverEnds.test.ts
+++ b/packages/forwarding/src/serverEnds.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { advanceSettled, createVirtualClock, type Ms } from "@stairgauge/common";
-import { NO_SIGNS } from "@stairgauge/signs";
+import { NO_SIGNS } from "@stairgauge/signals";
 import { makeAbsent, type ServerPresence } from "./askServer.js";
 import { makeServer } from "./server.testkit.js";
 import { createServerEnds } from "./serverEnds.js";
--- a/packages/forwarding/src/serverEnds.ts
+++ b/packages/forwarding/src/serverEnds.ts
@@ -34,7 +34,7 @@
 }>;
 
 /** How often a server that says nothing is asked, and the pause between: a process that dies may take its time over it. */
-const MOST_ASKED = 4;
+const MAX_ASKED = 4;
 const ASK_PAUSE_MS = 250 as Ms;
 
 /** How long an end is remembered, for requests whose connections to the server are found broken later. */
@@ -59,7 +59,7 @@
 
   const askUntilHeard = async (server: BackendServer): Promise<ServerEnd> => {
     let detail = "";
-    for (let asked = 0; asked < MOST_ASKED; asked += 1) {
+    for (let asked = 0; asked < MAX_ASKED; asked += 1) {
       if (asked > 0) await waitFor(clock, ASK_PAUSE_MS);
       const presence = await ask(server);
       const end = judgePresence(presence);
--- a/packages/forwarding/src/streamRelay.test.ts
+++ b/packages/forwarding/src/streamRelay.test.ts
@@ -36,8 +36,8 @@
 describe("createStreamRelay", () => {
   it("drops what a leg leaves behind when the next one begins", () => {
     const { relay, getSent } = makeRelay();
-    relay.beginLeg([], "").push(Buffer.from(`${makeEvent(0, "a")}id: 1\nda`));
-    const next = relay.beginLeg([], "");
+    relay.beginSegment([], "").push(Buffer.from(`${makeEvent(0, "a")}id: 1\nda`));
+    const next = relay.beginSegment([], "");
     expect(next.countBytesLeft()).toBe(0);
     next.push(Buffer.from(makeEvent(1, "b")));
     expect(getSent()).toBe(makeEvent(0, "a") + makeEvent(1, "b"));
@@ -45,9 +45,9 @@
 
   it("takes nothing more from a leg once another has begun, nor its end", () => {
     const { relay, getSent, isEnded } = makeRelay();
-    const first = relay.beginLeg([], "");
+    const first = relay.beginSegment([], "");
     first.push(Buffer.from(makeEvent(0, "a")));
-    relay.beginLeg([], "");
+    relay.beginSegment([], "");
     expect(first.push(Buffer.from(makeEvent(1, "a")))).toEqual({ kind: "held" });
     first.finish();
     expect(getSent()).toBe(makeEvent(0, "a"));
@@ -56,16 +56,16 @@
 
   it("sends the head of the server whose event goes out first, and no other", () => {
     const { relay, heads } = makeRelay();
-    relay.beginLeg(["Signature", "a"], "").push(Buffer.from("id: 0\nda"));
-    relay.beginLeg(["Signature", "b"], "").push(Buffer.from(makeEvent(0, "b")));
-    relay.beginLeg(["Signature", "c"], "").push(Buffer.from(makeEvent(1, "c")));
+    relay.beginSegment(["Signature", "a"], "").push(Buffer.from("id: 0\nda"));
+    relay.beginSegment(["Signature", "b"], "").push(Buffer.from(makeEvent(0, "b")));
+    relay.beginSegment(["Signature", "c"], "").push(Buffer.from(makeEvent(1, "c")));
     expect(heads.map(({ headers }) => headers)).toEqual([["Signature", "b"]]);
   });
 
   it.each([0, 1, 3])("passes nothing on of a leg that begins at %i behind 1", (first) => {
     const { relay, getSent } = makeRelay();
-    relay.beginLeg([], "").push(Buffer.from(makeEvent(0, "a") + makeEvent(1, "a")));
-    const leg = relay.beginLeg([], "");
+    relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a") + makeEvent(1, "a")));
+    const leg = relay.beginSegment([], "");
     const step = { kind: "does_not_follow", eventId: String(first), behind: "1" };
     expect(leg.push(Buffer.from(makeEvent(first, "b")))).toEqual(step);
     expect(leg.push(Buffer.from(makeEvent(2, "b")))).toEqual({ kind: "held" });
@@ -74,28 +74,28 @@
 
   it("passes nothing on of a first leg that overlooks what the client asked behind", () => {
     const { relay, getSent, heads } = makeRelay("4");
-    relay.beginLeg([], "").push(Buffer.from(makeEvent(0, "a")));
+    relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a")));
     expect([getSent(), heads]).toEqual(["", []]);
-    relay.beginLeg([], "").push(Buffer.from(makeEvent(5, "b")));
+    relay.beginSegment([], "").push(Buffer.from(makeEvent(5, "b")));
     expect(getSent()).toBe(makeEvent(5, "b"));
   });
 
   it("gives up a leg whose event never ends, and what it holds of it", () => {
     const { relay, getSent } = makeRelay();
-    const leg = relay.beginLeg([], "");
+    const leg = relay.beginSegment([], "");
     leg.push(Buffer.from(makeEvent(0, "a")));
     const part = Buffer.alloc(64 * 1024, "x");
     const steps = Array.from({ length: 10 }, () => leg.push(part).kind);
     expect(steps).toContain("too_long");
     expect(steps.at(-1)).toBe("held");
-    relay.beginLeg([], "").push(Buffer.from(makeEvent(1, "b")));
+    relay.beginSegment([], "").push(Buffer.from(makeEvent(1, "b")));
     expect(getSent()).toBe(makeEvent(0, "a") + makeEvent(1, "b"));
   });
 
   it("holds comments of a leg back until its first event has joined", () => {
     const { relay, getSent } = makeRelay();
-    relay.beginLeg([], "").push(Buffer.from(makeEvent(0, "a")));
-    const leg = relay.beginLeg([], "");
+    relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a")));
+    const leg = relay.beginSegment([], "");
     expect(leg.push(Buffer.from(": here\n\n"))).toEqual({ kind: "held" });
     expect(getSent()).toBe(makeEvent(0, "a"));
     leg.push(Buffer.from(makeEvent(1, "b")));
--- a/packages/forwarding/src/streamRelay.ts
+++ b/packages/forwarding/src/streamRelay.ts
@@ -10,7 +10,7 @@
 import type { RawHeaders } from "./types.js";
 
 /** What became of a chunk. */
-export type LegStep = Readonly<
+export type SegmentStep = Readonly<
   /** It completes no event, or the leg is no longer the stream's. */
   | { kind: "held" }
   /** Whole events were passed on; the client may read slower than they come. */
@@ -27,8 +27,8 @@
 >;
 
 /** The part of a stream that one server makes. */
-export type StreamLeg = Readonly<{
-  push: (chunk: Buffer) => LegStep;
+export type StreamSegment = Readonly<{
+  push: (chunk: Buffer) => SegmentStep;
   /** Bytes of an event whose end has not come. */
   countBytesLeft: () => number;
   /** The leg has ended whole, and the stream with it. */
@@ -38,7 +38,7 @@
 /** The relay of one stream. */
 export type StreamRelay = Readonly<{
   /** Begins a server's part; its head goes out with the first event, unless another's has gone out before. */
-  beginLeg: (headers: RawHeaders, reason: string) => StreamLeg;
+  beginSegment: (headers: RawHeaders, reason: string) => StreamSegment;
   hasBegun: () => boolean;
   getEvents: () => number;
   /** Id of the last event that was passed on, if it has one. */
@@ -70,12 +70,12 @@
 const LONGEST_EVENT_BYTES = 512 * 1024;
 
 /** Comments that wait for the first event of a leg. */
-const MOST_HELD_COMMENTS = 16;
+const MAX_HELD_COMMENTS = 16;
 
 /** Creates a relay before its first leg. */
 export const createStreamRelay = (options: StreamRelayOptions): StreamRelay => {
   const { clock, answer, askedBehind, onFirstEvent } = options;
-  let current: StreamLeg | undefined;
+  let current: StreamSegment | undefined;
   let events = 0;
   let sequence = createIdSequence(askedBehind);
   let firstEventAt: Ms | undefined;
@@ -97,7 +97,7 @@
     sequence = batch.ids.reduce(addId, sequence);
     recordPace();
   };
-  const passOn = (batch: EventBatch): LegStep => {
+  const passOn = (batch: EventBatch): SegmentStep => {
     const isFirst = events === 0;
     recordEvents(batch);
     const mayGoOn = answer.write(batch.bytes);
@@ -118,19 +118,19 @@
     return verdict === "repeats" || verdict === "skips" ? "does_not_follow" : "joins";
   };
 
-  const beginLeg = (headers: RawHeaders, reason: string): StreamLeg => {
+  const beginSegment = (headers: RawHeaders, reason: string): StreamSegment => {
     const splitter = createEventSplitter();
     let isJoined = false;
     const comments: Buffer[] = [];
     const begin = () => {
       if (!answer.hasBegun()) answer.begin({ status: STREAM_STATUS, reason, headers });
     };
-    const takeBatch = (batch: EventBatch): LegStep => {
+    const takeBatch = (batch: EventBatch): SegmentStep => {
       begin();
       for (const comment of comments.splice(0)) answer.write(comment);
       return passOn(batch);
     };
-    const joinBatch = (batch: EventBatch): LegStep => {
+    const joinBatch = (batch: EventBatch): SegmentStep => {
       const verdict = judgeJoin(batch);
       switch (verdict) {
         case "joins":
@@ -138,7 +138,7 @@
           return takeBatch(batch);
         case "tells_nothing":
           // They may be dropped where there are too many: they are no events.
-          if (comments.length < MOST_HELD_COMMENTS) comments.push(batch.bytes);
+          if (comments.length < MAX_HELD_COMMENTS) comments.push(batch.bytes);
           return { kind: "held" };
         case "does_not_follow":
           current = undefined;
@@ -147,7 +147,7 @@
           return assertNever(verdict);
       }
     };
-    const leg: StreamLeg = {
+    const leg: StreamSegment = {
       push: (chunk) => {
         if (current !== leg) return { kind: "held" };
         const batch = splitter.push(chunk);
@@ -172,7 +172,7 @@
   };
 
   return {
-    beginLeg,
+    beginSegment,
     hasBegun: () => events > 0,
     getEvents: () => events,
     getLastEventId: () => (events > 0 ? sequence.last : undefined),
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -1,7 +1,7 @@
 /** What forwarding hands around: requests as clients sent them, answers as servers gave them. */
 import type { Brand, Ms, WorkspaceName } from "@stairgauge/common";
 import type { ServerAddress, ServerName } from "@stairgauge/directory";
-import type { ServerSigns } from "@stairgauge/signs";
+import type { ServerSignals } from "@stairgauge/signals";
 
 /** Identity of one try of a client, chosen by the client. */
 export type ClientRequestId = Brand<string, "ClientRequestId">;
@@ -69,7 +69,7 @@
   server: ServerName | undefined;
   startedAt: Ms | undefined;
   /** What the server says of itself. */
-  signs: ServerSigns;
+  signs: ServerSignals;
   /** The body is encoded, so it is not the server's body. */
   isEncoded: boolean;
   /** Length of the body, when the head gives it. */
--- a/packages/forwarding/src/waitingRoom.test.ts
+++ b/packages/forwarding/src/waitQueue.test.ts
@@ -5,19 +5,19 @@
   type ServiceName,
   type VirtualClock,
 } from "@stairgauge/common";
-import { createWaitingRoom, type WaitingRoom } from "./waitingRoom.js";
+import { createWaitQueue, type WaitQueue } from "./waitQueue.js";
 
 const WRITERS = "writers" as ServiceName;
 
 describe("createWaitingRoom", () => {
   let clock: VirtualClock;
-  let room: WaitingRoom;
+  let room: WaitQueue;
   let free: number;
   let placed: string[];
 
   beforeEach(() => {
     clock = createVirtualClock();
-    room = createWaitingRoom(clock);
+    room = createWaitQueue(clock);
     free = 0;
     placed = [];
   });
--- a/packages/forwarding/src/waitingRoom.ts
+++ b/packages/forwarding/src/waitQueue.ts
@@ -18,7 +18,7 @@
 }>;
 
 /** The requests that wait at one box. */
-export type WaitingRoom = Readonly<{
+export type WaitQueue = Readonly<{
   /** Takes a request in; the function returned takes it out again. */
   add: (waiting: Waiting) => () => void;
   /** Whether a newcomer would pass one that waits. */
@@ -30,7 +30,7 @@
 const LOOK_INTERVAL_MS = 30 as Ms;
 
 /** Creates an empty room. */
-export const createWaitingRoom = (clock: Clock): WaitingRoom => {
+export const createWaitQueue = (clock: Clock): WaitQueue => {
   /** In the order of arrival. */
   const waiting = new Set<Waiting>();
   let timer: Timer | undefined;
--- a/packages/limits/src/constants.ts
+++ b/packages/limits/src/constants.ts
@@ -1,26 +1,26 @@
 /** Times and sizes of limits that servers name. */
 import type { Ms } from "@stairgauge/common";
-import type { LimitNews } from "./types.js";
+import type { LimitUpdate } from "./types.js";
 
 /**
  * Three answers in a row without a limit lift it, the last of them to a request that was sent this long after the last answer with
  * one: servers that name it in every second answer, and answers that overtake one another, lift nothing.
  */
 export const TELLING_ANSWERS = 3;
-export const LEAST_HOLD_MS = 2_000 as Ms;
+export const MIN_HOLD_MS = 2_000 as Ms;
 
 /**
  * A single answer without it lifts a limit if its request was sent this long after the last answer with one, or as long as the
  * server takes for three requests: longer than all boxes together may be silent once they have sent their parts.
  */
-export const LEAST_SINGLE_HOLD_MS = 6_000 as Ms;
-export const MOST_SINGLE_HOLD_MS = 10_000 as Ms;
+export const MIN_SINGLE_HOLD_MS = 6_000 as Ms;
+export const MAX_SINGLE_HOLD_MS = 10_000 as Ms;
 
 /**
  * A limit of which no box has heard for so long, or for as long as the server takes for three requests, is forgotten: whoever sends
  * next hears it again.
  */
-export const LEAST_MEMORY_MS = 30_000 as Ms;
+export const MIN_MEMORY_MS = 30_000 as Ms;
 
 /** A limit that is known is told again this often while servers go on naming it: boxes that send nothing there hear it so. */
 export const RETELL_MS = 1_000 as Ms;
@@ -45,4 +45,4 @@
 export const QUIET_FROM_MS = 2_400 as Ms;
 
 /** News of which there is none. */
-export const NO_LIMIT_NEWS: LimitNews = { named: [], lifted: [] };
+export const NO_LIMIT_UPDATE: LimitUpdate = { named: [], lifted: [] };
--- a/packages/limits/src/gatherRenewals.test.ts
+++ b/packages/limits/src/gatherRenewals.test.ts
@@ -3,18 +3,18 @@
 import { createVirtualClock, type Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import { createRenewalGatherer } from "./gatherRenewals.js";
-import type { KnownLimit, LimitNews } from "./types.js";
+import type { KnownLimit, LimitUpdate } from "./types.js";
 
 const SERVERS = Array.from({ length: 100 }, (_, i) => `page-${i}` as ServerId);
 const KNOWN: KnownLimit = { perSecond: 2, knownFor: 5_000 as Ms, age: 10 as Ms };
 
 const setUp = (known: ReadonlySet<ServerId>) => {
   const clock = createVirtualClock();
-  const sent: LimitNews[] = [];
+  const sent: LimitUpdate[] = [];
   const takeRenewal = createRenewalGatherer({
     clock,
     getBook: () => ({
-      listNews: (servers = known) => ({
+      makeUpdate: (servers = known) => ({
         named: [...servers]
           .filter((server) => known.has(server))
           .map((server) => ({ server, ...KNOWN })),
--- a/packages/limits/src/limitBook.ts
+++ b/packages/limits/src/limitRegistry.ts
@@ -6,42 +6,48 @@
 import { assertNever, type BoxName, type Clock, type Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import {
-  LEAST_HOLD_MS,
-  LEAST_MEMORY_MS,
-  LEAST_SINGLE_HOLD_MS,
-  MOST_SINGLE_HOLD_MS,
-  NO_LIMIT_NEWS,
+  MIN_HOLD_MS,
+  MIN_MEMORY_MS,
+  MIN_SINGLE_HOLD_MS,
+  MAX_SINGLE_HOLD_MS,
+  NO_LIMIT_UPDATE,
   RETELL_MS,
   TELLING_ANSWERS,
 } from "./constants.js";
-import type { KnownLimit, LimitEvent, LimitNews, LimitSign, ToldLimit } from "./types.js";
+import type {
+  KnownLimit,
+  LimitEvent,
+  LimitUpdate,
+  LimitSignal,
+  SharedLimit,
+} from "./types.js";
 
 /** What a book is given. */
-export type LimitBookOptions = Readonly<{
+export type LimitRegistryOptions = Readonly<{
   /** A clock by which ages are proved. */
   clock: Pick<Clock, "monotonic">;
   /** Whether a server is listed: of others nothing is kept. */
   isListed: (server: ServerId) => boolean;
   /** This box has heard something that others are to know. */
-  onOwnNews: (news: LimitNews) => void;
+  onOwnUpdate: (news: LimitUpdate) => void;
   /** Something is news here, whoever said so: boxes that hear this one alone need it, at once or, a renewal, in time. */
-  onSharedNews: (news: LimitNews, isRenewal: boolean) => void;
+  onSharedUpdate: (news: LimitUpdate, isRenewal: boolean) => void;
   onEvent: (event: LimitEvent) => void;
 }>;
 
 /** The book of one box. */
-export type LimitBook = Readonly<{
+export type LimitRegistry = Readonly<{
   /**
    * A server has answered this box; `sentAgo` is the time since its request was sent, undefined for calls in whose answers a server
    * may name a limit and need not.
    */
-  takeSign: (server: ServerId, sign: LimitSign, sentAgo: Ms | undefined) => void;
+  applySignal: (server: ServerId, sign: LimitSignal, sentAgo: Ms | undefined) => void;
   /** Another box tells. */
-  takeNews: (news: LimitNews, by: BoxName) => void;
+  applyUpdate: (news: LimitUpdate, by: BoxName) => void;
   find: (server: ServerId) => KnownLimit | undefined;
   isEmpty: () => boolean;
   /** What is known of the servers given; of all, for a box that is new to this one. */
-  listNews: (servers?: Iterable<ServerId>) => LimitNews;
+  makeUpdate: (servers?: Iterable<ServerId>) => LimitUpdate;
   forget: (server: ServerId) => void;
 }>;
 
@@ -70,16 +76,16 @@
 /** Works out how long after the last answer with a limit a single answer without it says nothing. */
 const computeSingleHold = (perSecond: number): number =>
   Math.min(
-    MOST_SINGLE_HOLD_MS,
-    Math.max(LEAST_SINGLE_HOLD_MS, computeTellingTime(perSecond)),
+    MAX_SINGLE_HOLD_MS,
+    Math.max(MIN_SINGLE_HOLD_MS, computeTellingTime(perSecond)),
   );
 
 const computeMemory = (perSecond: number): number =>
-  Math.max(LEAST_MEMORY_MS, computeTellingTime(perSecond));
+  Math.max(MIN_MEMORY_MS, computeTellingTime(perSecond));
 
 /** Creates an empty book. */
-export const createLimitBook = (options: LimitBookOptions): LimitBook => {
-  const { clock, isListed, onOwnNews, onSharedNews, onEvent } = options;
+export const createLimitRegistry = (options: LimitRegistryOptions): LimitRegistry => {
+  const { clock, isListed, onOwnUpdate, onSharedUpdate, onEvent } = options;
   const limits = new Map<ServerId, Kept>();
   /** When requests were sent whose answers lifted a limit: what was heard before and is told late says nothing. */
   const liftedAt = new Map<ServerId, number>();
@@ -87,9 +93,9 @@
   const unreadable = new Map<ServerId, string>();
 
   const toBox = (by: Heard["by"]) => (by === "itself" ? undefined : by);
-  const tellNews = (news: LimitNews, by: Heard["by"], isRenewal = false) => {
-    if (by === "itself") onOwnNews(news);
-    onSharedNews(news, isRenewal);
+  const tellNews = (news: LimitUpdate, by: Heard["by"], isRenewal = false) => {
+    if (by === "itself") onOwnUpdate(news);
+    onSharedUpdate(news, isRenewal);
   };
 
   const find = (server: ServerId): KnownLimit | undefined => {
@@ -104,12 +110,12 @@
     onEvent({ kind: "run_out", server, age });
     return undefined;
   };
-  const listNews: LimitBook["listNews"] = (servers = limits.keys()) => {
-    const named = [...servers].flatMap((server): readonly ToldLimit[] => {
+  const makeUpdate: LimitRegistry["makeUpdate"] = (servers = limits.keys()) => {
+    const named = [...servers].flatMap((server): readonly SharedLimit[] => {
       const known = find(server);
       return known ? [{ server, ...known }] : [];
     });
-    return named.length > 0 ? { named, lifted: [] } : NO_LIMIT_NEWS;
+    return named.length > 0 ? { named, lifted: [] } : NO_LIMIT_UPDATE;
   };
 
   const recordNamed = (heard: Heard, perSecond: number, firstAt: number) => {
@@ -134,13 +140,13 @@
       const kind = known ? "changed" : "named";
       onEvent({ kind, server, perSecond, age, by: toBox(by) });
     }
-    if (isDue) tellNews(listNews([server]), by, !isChange);
+    if (isDue) tellNews(makeUpdate([server]), by, !isChange);
   };
 
   /** A request that was sent so long after the last answer with the limit was answered without it. */
   const isProof = ({ perSecond, unnamed }: Kept, sentAfter: number): boolean => {
     const isRow = unnamed >= TELLING_ANSWERS;
-    return sentAfter >= (isRow ? LEAST_HOLD_MS : computeSingleHold(perSecond));
+    return sentAfter >= (isRow ? MIN_HOLD_MS : computeSingleHold(perSecond));
   };
   const takeUnnamed = (server: ServerId, sentAgo: Ms) => {
     const kept = find(server) && limits.get(server);
@@ -155,8 +161,7 @@
   /** Whoever tells it has the proof; it holds here if nothing was heard of the limit since. */
   const takeLift = ({ server, at: sentAt, by }: Heard) => {
     const kept = find(server) && limits.get(server);
-    if (kept && sentAt - kept.lastAt >= LEAST_HOLD_MS)
-      endLimit({ server, at: sentAt, by });
+    if (kept && sentAt - kept.lastAt >= MIN_HOLD_MS) endLimit({ server, at: sentAt, by });
   };
   const endLimit = ({ server, at: sentAt, by }: Heard) => {
     const known = find(server)!;
@@ -181,7 +186,7 @@
   };
 
   return {
-    takeSign: (server, sign, sentAgo) => {
+    applySignal: (server, sign, sentAgo) => {
       switch (sign.kind) {
         case "named":
           takeNamed(server, sign.perSecond);
@@ -196,7 +201,7 @@
           assertNever(sign);
       }
     },
-    takeNews: ({ named, lifted }, by) => {
+    applyUpdate: ({ named, lifted }, by) => {
       // Boxes tell each other of their runs all the time, and hardly ever of limits.
       if (named.length + lifted.length === 0) return;
       const now = clock.monotonic();
@@ -207,7 +212,7 @@
     },
     find,
     isEmpty: () => limits.size === 0,
-    listNews,
+    makeUpdate,
     forget: (server) => {
       const known = find(server);
       limits.delete(server);
--- a/packages/limits/src/limitRoom.ts
+++ b/packages/limits/src/limitRoom.ts
@@ -32,7 +32,7 @@
 const MS_PER_S = 1_000;
 
 /** A box that has several requests in a span sends them no closer together than this share of their mean distance. */
-const LEAST_DISTANCE = 0.5;
+const MIN_DISTANCE = 0.5;
 
 /** Works out what all boxes together may send. */
 export const computeQuota = ({
@@ -64,7 +64,7 @@
   const computeFreeAt = (recent: readonly Ms[], { part, used, span }: LimitRoom) => {
     const latest = recent.at(-1);
     if (latest === undefined) return 0;
-    const next = latest + (span * LEAST_DISTANCE) / part;
+    const next = latest + (span * MIN_DISTANCE) / part;
     return used < part ? next : Math.max(next, recent[used - part]! + span);
   };
 
--- a/packages/limits/src/limitedFleet.testkit.ts
+++ b/packages/limits/src/limitedFleet.testkit.ts
@@ -13,7 +13,7 @@
 import type { BackendServer, ServerId, ServerName } from "@stairgauge/directory";
 import { createFleetPlaces } from "@stairgauge/placement";
 import { createServerLimits, type ServerLimits } from "./serverLimits.js";
-import type { LimitNews } from "./types.js";
+import type { LimitUpdate } from "./types.js";
 
 const SERVICE = "pages" as ServiceName;
 
@@ -90,11 +90,11 @@
   const hasHubs = boxes > MESH_BOXES;
   const makeName = (index: number) => `box-${index}` as BoxName;
 
-  const sendNews = (from: number, to: number, news: LimitNews) => {
+  const sendNews = (from: number, to: number, news: LimitUpdate) => {
     if (from === to || fleet[from]!.isCutOff || fleet[to]!.isCutOff) return;
-    callWithin(LINK_MS, () => fleet[to]!.limits.takeNews(news, makeName(from)));
+    callWithin(LINK_MS, () => fleet[to]!.limits.applyUpdate(news, makeName(from)));
   };
-  const tellTo = (from: number, to: number, news: LimitNews) => {
+  const tellTo = (from: number, to: number, news: LimitUpdate) => {
     for (let box = 0; box < to; box += 1) sendNews(from, box, news);
   };
   const makeBox = (index: number): FleetBox => {
@@ -107,8 +107,8 @@
       places,
       isPlacedByHubs: () => load.isPlacedByFirst ?? false,
       isListed: () => true,
-      onOwnNews: (news) => tellTo(index, hasHubs ? HUBS : boxes, news),
-      onSharedNews: (news) => {
+      onOwnUpdate: (news) => tellTo(index, hasHubs ? HUBS : boxes, news),
+      onSharedUpdate: (news) => {
         if (hasHubs && index < HUBS) tellTo(index, boxes, news);
       },
       onEvent: () => undefined,
@@ -135,7 +135,7 @@
   const answer = (index: number, sentAt: number, isTold: boolean) => {
     const sign = isTold ? { kind: "named" as const, perSecond } : UNNAMED;
     const sentAgo = (getNow() - sentAt) as Ms;
-    fleet[index]!.limits.takeSign(SERVER.entry.id, sign, sentAgo);
+    fleet[index]!.limits.applySignal(SERVER.entry.id, sign, sentAgo);
   };
   const takeArrival = (index: number, sentAt: number) => {
     const at = getNow();
@@ -148,7 +148,7 @@
     if (isFrozen()) return;
     const demand = { service: SERVICE, tier: 0 };
     limits.recordArrival(demand);
-    if (limits.sift(demand, [SERVER]).open.length === 0) return;
+    if (limits.filter(demand, [SERVER]).open.length === 0) return;
     limits.recordSent(SERVER.entry, demand.tier);
     const sentAt = getNow();
     callWithin(SEND_MS, () => takeArrival(index, sentAt));
--- a/packages/limits/src/serverLimits.ts
+++ b/packages/limits/src/serverLimits.ts
@@ -2,13 +2,17 @@
 import type { Clock, Ms, ServiceName } from "@stairgauge/common";
 import type { BackendServer, ServerId } from "@stairgauge/directory";
 import type { FleetPlaces } from "@stairgauge/placement";
-import { createLimitBook, type LimitBook, type LimitBookOptions } from "./limitBook.js";
+import {
+  createLimitRegistry,
+  type LimitRegistry,
+  type LimitRegistryOptions,
+} from "./limitRegistry.js";
 import { computeQuota, createLimitRooms, type LimitRoom } from "./limitRoom.js";
 import type { LimitEvent } from "./types.js";
 import { createUrgentDemand } from "./urgentDemand.js";
 
 /** What the limits need. */
-export type ServerLimitsOptions = Omit<LimitBookOptions, "clock"> &
+export type ServerLimitsOptions = Omit<LimitRegistryOptions, "clock"> &
   Readonly<{
     /** The steady clock, by which requests are paced: it remembers longer than it should, and so errs to the safe side. */
     clock: Pick<Clock, "monotonic">;
@@ -30,18 +34,18 @@
 }>;
 
 /** Servers of those asked about that take one more request now; where none does, when to come back. */
-export type SiftedServers = Readonly<{
+export type FilteredServers = Readonly<{
   open: readonly BackendServer[];
   retryAfter: Ms | undefined;
 }>;
 
 /** The limits of one box. */
-export type ServerLimits = LimitBook &
+export type ServerLimits = LimitRegistry &
   Readonly<{
     isLimited: (server: ServerId) => boolean;
     /** Undefined where the server takes what comes. */
     findAllowance: (entry: BackendServer["entry"]) => Allowance | undefined;
-    sift: (demand: LimitedDemand, servers: readonly BackendServer[]) => SiftedServers;
+    filter: (demand: LimitedDemand, servers: readonly BackendServer[]) => FilteredServers;
     recordArrival: (demand: LimitedDemand) => void;
     /** A request goes to the server; one without a rank is a call that is no request of a client's. */
     recordSent: (entry: BackendServer["entry"], tier: number | undefined) => void;
@@ -61,7 +65,7 @@
   const { clock, agingClock, places, isPlacedByHubs, onEvent } = options;
   const rooms = createLimitRooms(clock);
   const urgent = createUrgentDemand(clock);
-  const book = createLimitBook({
+  const book = createLimitRegistry({
     ...options,
     clock: agingClock,
     onEvent: (event) => {
@@ -88,7 +92,7 @@
     return Math.ceil(Math.max(next, MS_PER_S / perSecond)) as Ms;
   };
 
-  const sift: ServerLimits["sift"] = ({ service, tier }, servers) => {
+  const sift: ServerLimits["filter"] = ({ service, tier }, servers) => {
     const judged = servers.map((server) => ({
       server,
       allowance: findAllowance(server.entry),
@@ -109,7 +113,7 @@
     ...book,
     isLimited: (server) => book.find(server) !== undefined,
     findAllowance,
-    sift: (demand, servers) =>
+    filter: (demand, servers) =>
       book.isEmpty() ? { open: servers, retryAfter: undefined } : sift(demand, servers),
     recordArrival: ({ service, tier }) => {
       if (!book.isEmpty()) urgent.recordArrival(service, tier);
--- a/packages/limits/src/types.ts
+++ b/packages/limits/src/types.ts
@@ -3,7 +3,7 @@
 import type { ServerId } from "@stairgauge/directory";
 
 /** What one answer of a server says of its limit. */
-export type LimitSign = Readonly<
+export type LimitSignal = Readonly<
   | { kind: "unnamed" }
   /** Requests a second that the server takes from all boxes together, for as long as it says so. */
   | { kind: "named"; perSecond: number }
@@ -20,15 +20,15 @@
 }>;
 
 /** A limit as one box tells it to another, whose steady clock is another one. */
-export type ToldLimit = KnownLimit & Readonly<{ server: ServerId }>;
+export type SharedLimit = KnownLimit & Readonly<{ server: ServerId }>;
 
 /** A server has answered without its limit; `age` is the time since the request was sent that it answered. */
-export type ToldLift = Readonly<{ server: ServerId; age: Ms }>;
+export type SharedLift = Readonly<{ server: ServerId; age: Ms }>;
 
 /** What one box tells others of limits. */
-export type LimitNews = Readonly<{
-  named: readonly ToldLimit[];
-  lifted: readonly ToldLift[];
+export type LimitUpdate = Readonly<{
+  named: readonly SharedLimit[];
+  lifted: readonly SharedLift[];
 }>;
 
 /** A change of what a box believes; `by` is the box that said so, if it was another one. */
--- a/packages/measure/src/benchForwardMain.ts
+++ b/packages/measure/src/benchForwardMain.ts
@@ -18,7 +18,7 @@
 const WARM_UP_MS = 2_000;
 const SITE_READY_MS = 1_500;
 /** Far above the streams of a run: a box keeps to its part of the connections that a server takes. */
-const MOST_CONNECTIONS = 5_000;
+const MAX_CONNECTIONS = 5_000;
 
 type Target = Readonly<{ name: string; process: SpawnedProcess; url: string }>;
 
@@ -39,7 +39,7 @@
 const startBoxBefore = async (source: string): Promise<Target> => {
   const site = await startUsersSite({ engines: 0, services: 0 });
   site.putEngine("source", source);
-  site.limitConnections(MOST_CONNECTIONS);
+  site.limitConnections(MAX_CONNECTIONS);
   const folder = mkdtempSync(join(tmpdir(), "stairgauge-"));
   const path = join(folder, "box.yaml");
   writeFileSync(path, formatSettings(site.store.address));
--- a/packages/measure/src/crowded/sampleRun.ts
+++ b/packages/measure/src/crowded/sampleRun.ts
@@ -10,7 +10,7 @@
 const sampleLogNormal = (random: Random, mean: number, spread: number): number =>
   mean * Math.exp(spread * sampleNormal(random) - (spread * spread) / 2);
 
-const LEAST_PROMPT = 100;
+const MIN_PROMPT = 100;
 
 const sampleTokens = (
   random: Random,
@@ -26,7 +26,7 @@
   { id, now }: Readonly<{ id: string; now: number }>,
 ): ModelRun => {
   const out = sampleTokens(random, kind.out, 1);
-  const prompt = sampleTokens(random, kind.prompt, LEAST_PROMPT);
+  const prompt = sampleTokens(random, kind.prompt, MIN_PROMPT);
   const error = Math.exp(kind.guessSpread * sampleNormal(random));
   return {
     id,
--- a/packages/measure/src/crowded/sumUp.ts
+++ b/packages/measure/src/crowded/sumUp.ts
@@ -8,7 +8,7 @@
 const OUT_WEIGHT = 10;
 
 /** Most that one generation is worth, in means of its kind. */
-const MOST_WORTH = 4;
+const MAX_WORTH = 4;
 
 const computeSize = ({ prompt, out }: ModelRun) => prompt + OUT_WEIGHT * out;
 
@@ -25,7 +25,7 @@
     let [askedHere, earnedHere, inTime, preemptions] = [0, 0, 0, 0];
     const firsts: number[] = [];
     for (const { run, isEnded } of own) {
-      const factor = Math.min(MOST_WORTH, 0.3 + (0.7 * computeSize(run)) / meanSize);
+      const factor = Math.min(MAX_WORTH, 0.3 + (0.7 * computeSize(run)) / meanSize);
       const first = (run.firstAt ?? Infinity) - run.arrivedAt;
       // What runs on beyond the play counts by what has come so far.
       const isServed = isEnded || run.firstAt !== undefined;
--- a/packages/peers/src/applyUpdate.ts
+++ b/packages/peers/src/applyUpdate.ts
@@ -1,21 +1,21 @@
 /** Takes what another box tells into what this one knows. */
 import type { BoxName } from "@stairgauge/common";
-import type { CrashNews } from "@stairgauge/crashes";
+import type { CrashUpdate } from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
-import type { LimitNews } from "@stairgauge/limits";
+import type { LimitUpdate } from "@stairgauge/limits";
 import type { LoadBook } from "@stairgauge/placement";
-import type { RunUpdate, ToldLeaving, ToldReport } from "./types.js";
+import type { RunUpdate, SharedLeaving, SharedReport } from "./types.js";
 
 /** Where an update goes. */
 export type UpdateSinks = Readonly<{
   book: LoadBook;
-  onLeaving: (told: ToldLeaving) => void;
-  onReport: (told: ToldReport) => void;
+  onLeaving: (told: SharedLeaving) => void;
+  onReport: (told: SharedReport) => void;
   onBroken: (server: ServerId) => void;
   /** A run of the box has begun at the server. */
   onAnswered: (server: ServerId) => void;
-  onCrashes: (news: CrashNews) => void;
-  onLimits: (news: LimitNews, by: BoxName) => void;
+  onCrashes: (news: CrashUpdate) => void;
+  onLimits: (news: LimitUpdate, by: BoxName) => void;
 }>;
 
 /** Applies an update; a whole one replaces all runs that the box told before. */
--- a/packages/peers/src/boxRestoreRules.ts
+++ b/packages/peers/src/boxRestoreRules.ts
@@ -8,7 +8,7 @@
 /** Creates the rules of the boxes' table; a box misses its own row at once, and puts it again. */
 export const createBoxRestoreRules = (own: BoxName): RestoreRules => ({
   isUndone: () => false,
-  judgeMissing: ({ key }) =>
+  resolveMissing: ({ key }) =>
     key === own ? { kind: "drop" } : { kind: "keep_for", duration: REJOINED_WITHIN_MS },
-  judgeDropped: () => ({ kind: "take" }),
+  resolveDropped: () => ({ kind: "take" }),
 });
--- a/packages/peers/src/hubs.test.ts
+++ b/packages/peers/src/hubs.test.ts
@@ -2,8 +2,8 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { BoxName, DataHallName } from "@stairgauge/common";
-import { chooseLinks, countHubs, listHubs, MOST_LINKS } from "./hubs.js";
-import { rankCarriers } from "./rankHearers.js";
+import { chooseLinks, countHubs, listHubs, MAX_LINKS } from "./hubs.js";
+import { rankByCapacity } from "./rankStoreReaders.js";
 import type { Member } from "./types.js";
 
 const makeMembers = (count: number): readonly Member[] =>
@@ -16,7 +16,7 @@
 
 /** Links of every box when those named cannot be reached by anybody. */
 const chooseAllLinks = (members: readonly Member[], lost: ReadonlySet<BoxName>) => {
-  const ranked = rankCarriers(members);
+  const ranked = rankByCapacity(members);
   const isFailing = (box: BoxName) => lost.has(box);
   return members.map(({ box }) =>
     chooseLinks({ own: box, ranked, isFailing, isAvoided: isNone }),
@@ -54,7 +54,7 @@
         (count, halls) => {
           const members = placeInHalls(makeMembers(count), HALLS.slice(0, halls));
           const hallOf = new Map(members.map(({ box, dataHall }) => [box, dataHall]));
-          const first = rankCarriers(members).slice(0, halls);
+          const first = rankByCapacity(members).slice(0, halls);
           expect(new Set(first.map((box) => hallOf.get(box))).size).toBe(halls);
         },
       ),
@@ -64,7 +64,7 @@
 
   it("orders all boxes alike whatever the order in which they are listed", () => {
     const members = placeInHalls(makeMembers(64), HALLS);
-    expect(rankCarriers(members.toReversed())).toEqual(rankCarriers(members));
+    expect(rankByCapacity(members.toReversed())).toEqual(rankByCapacity(members));
   });
 
   it("puts no weak box before a strong one for the sake of its data hall", () => {
@@ -75,7 +75,7 @@
     }));
     const weak = new Set(weakHall.slice(0, 4).map(({ box }) => box));
     expect(
-      rankCarriers(weakHall)
+      rankByCapacity(weakHall)
         .slice(0, 8)
         .some((box) => weak.has(box)),
     ).toBe(false);
@@ -96,7 +96,7 @@
       const hubs = new Set(linked.flat());
       expect(hubs.size).toBe(countHubs(count));
       expect(Math.max(...linked.map((links) => links.length))).toBeLessThanOrEqual(
-        MOST_LINKS,
+        MAX_LINKS,
       );
       for (const { box, capacity } of members)
         if (hubs.has(box)) expect(capacity).toBeGreaterThan(7);
@@ -109,7 +109,7 @@
     fc.assert(
       fc.property(fc.subarray(boxes, { maxLength: 40 }), (gone) => {
         const lost = new Set(gone);
-        const ranked = rankCarriers(members);
+        const ranked = rankByCapacity(members);
         const living = members.filter(({ box }) => !lost.has(box));
         // Far down the order more links are needed than a box may hold: those it avoids make room.
         const isAvoided = (box: BoxName) => lost.has(box);
@@ -120,11 +120,11 @@
             isFailing: isNone,
             isAvoided,
           });
-          expect(links.length).toBeLessThanOrEqual(MOST_LINKS);
+          expect(links.length).toBeLessThanOrEqual(MAX_LINKS);
           const reached = living.filter(({ box }) => links.includes(box));
           return listHubs([own, ...reached], members.length).join();
         });
-        const hubs = rankCarriers(living).slice(0, countHubs(members.length)).join();
+        const hubs = rankByCapacity(living).slice(0, countHubs(members.length)).join();
         expect(new Set(views)).toEqual(new Set([hubs]));
       }),
       { seed: 5, numRuns: 100 },
@@ -133,7 +133,7 @@
 
   it("keeps a failing link and takes the next box beside it", () => {
     const members = makeMembers(66);
-    const ranked = rankCarriers(members);
+    const ranked = rankByCapacity(members);
     const own = ranked.at(-1)!;
     const [first] = ranked;
     const isFailing = (box: BoxName) => box === first;
--- a/packages/peers/src/hubs.ts
+++ b/packages/peers/src/hubs.ts
@@ -4,20 +4,20 @@
  * box can be one: the first in the order of carriers whose links stand are, and the loss of one moves its part to the next. Pure.
  */
 import type { BoxName } from "@stairgauge/common";
-import { rankCarriers } from "./rankHearers.js";
+import { rankByCapacity } from "./rankStoreReaders.js";
 import type { Member } from "./types.js";
 
 /** Up to so many boxes each is linked to all others: fewer messages, and none of them late by a second way. */
 const MESH_BOXES = 12;
 
 /** Hubs of a site that is larger: two may be lost or out of touch at once, and two go on with what all have told them. */
-const LEAST_HUBS = 4;
+const MIN_HUBS = 4;
 
 /** Boxes that one hub hears and tells, as those that one hearer of the store does. */
 const BOXES_PER_HUB = 40;
 
 /** Links that a box holds to others, whatever the size; a session takes some 70 kB at either end. */
-export const MOST_LINKS = 16;
+export const MAX_LINKS = 16;
 
 /** Whether a site of so many boxes has hubs that place generations for the others. */
 export const hasHubs = (boxes: number): boolean => boxes > MESH_BOXES;
@@ -25,7 +25,7 @@
 /** How many hubs a site of so many boxes has. */
 export const countHubs = (boxes: number): number => {
   if (!hasHubs(boxes)) return boxes;
-  return Math.min(MOST_LINKS, Math.max(LEAST_HUBS, Math.ceil(boxes / BOXES_PER_HUB)));
+  return Math.min(MAX_LINKS, Math.max(MIN_HUBS, Math.ceil(boxes / BOXES_PER_HUB)));
 };
 
 /** What a choice of links is made from. */
@@ -46,7 +46,7 @@
   const chosen: BoxName[] = [];
   let hubs = 0;
   for (const box of ranked) {
-    if (hubs >= wanted || chosen.length >= MOST_LINKS) break;
+    if (hubs >= wanted || chosen.length >= MAX_LINKS) break;
     if (box === own) {
       hubs += 1;
       continue;
@@ -60,4 +60,4 @@
 
 /** Names the hubs among the boxes that can be reached and this one; `boxes` are all there are. */
 export const listHubs = (reached: readonly Member[], boxes: number): readonly BoxName[] =>
-  rankCarriers(reached).slice(0, countHubs(boxes));
+  rankByCapacity(reached).slice(0, countHubs(boxes));
--- a/packages/peers/src/makeNotice.ts
+++ b/packages/peers/src/makeNotice.ts
@@ -1,7 +1,7 @@
 /** Makes what a box tells those that are linked to it. */
 import { NO_CRASH_NEWS } from "@stairgauge/crashes";
 import { NO_LIMIT_NEWS } from "@stairgauge/limits";
-import type { HubNotice, ToldUnsettled } from "./types.js";
+import type { HubNotice, SharedUnsettledRows } from "./types.js";
 
 /** Makes a notice of what is given and of nothing else. */
 export const makeNotice = (told: Partial<HubNotice>): HubNotice => ({
@@ -13,7 +13,7 @@
 });
 
 /** Whether any row of a table counts against the store's word. */
-export const hasUnsettled = ({ kept, withheld }: ToldUnsettled): boolean =>
+export const hasUnsettled = ({ kept, withheld }: SharedUnsettledRows): boolean =>
   kept.length + withheld.length > 0;
 
 /** Whether there is anything in it. */
--- a/packages/peers/src/memberSink.ts
+++ b/packages/peers/src/memberSink.ts
@@ -10,11 +10,11 @@
 import { z } from "zod";
 import type { Peer } from "./types.js";
 
-const MOST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 const memberSchema = z.object({
   host: z.ipv4(),
-  port: z.int().positive().max(MOST_PORT),
+  port: z.int().positive().max(MAX_PORT),
   capacity: z.number().positive().default(1),
   hall: z.string().optional(),
 });
--- a/packages/peers/src/peerLink.ts
+++ b/packages/peers/src/peerLink.ts
@@ -31,7 +31,7 @@
 
 /** Pauses between tries at a box that cannot be reached. */
 const FIRST_PAUSE_MS = 300;
-const MOST_PAUSE_MS = 5_000;
+const MAX_PAUSE_MS = 5_000;
 
 /** A link is probed this often when nothing is said, so that a half-open one is found. */
 const LINK_OPTIONS = {
@@ -43,7 +43,7 @@
 } as const;
 
 /** Updates that may wait for a slow peer before its stream is opened anew. */
-const MOST_BUFFERED_BYTES = 256 * 1024;
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
 /** Opens a link; its stream is opened again, with the whole state, whenever it ends. */
 export const openPeerLink = (peer: Peer, options: PeerLinkOptions): PeerLink => {
@@ -64,7 +64,7 @@
     if (isClosed) return;
     retry?.cancel();
     const jittered = pause * (0.5 + random.nextFloat());
-    pause = Math.min(MOST_PAUSE_MS, pause * 2);
+    pause = Math.min(MAX_PAUSE_MS, pause * 2);
     retry = clock.setTimer(jittered as Ms, openStream);
   };
 
@@ -97,7 +97,7 @@
       client.getChannel().getConnectivityState(false) === connectivityState.READY,
     write: (update) => {
       if (!stream) return;
-      if (stream.writableLength > MOST_BUFFERED_BYTES) stream.cancel();
+      if (stream.writableLength > MAX_BUFFERED_BYTES) stream.cancel();
       else stream.write(update);
     },
     close: () => {
--- a/packages/peers/src/peerLinks.ts
+++ b/packages/peers/src/peerLinks.ts
@@ -10,9 +10,9 @@
   type Timer,
 } from "@stairgauge/common";
 import type { ServerAddress } from "@stairgauge/directory";
-import { chooseLinks, listHubs, MOST_LINKS } from "./hubs.js";
+import { chooseLinks, listHubs, MAX_LINKS } from "./hubs.js";
 import { openPeerLink, type PeerLink } from "./peerLink.js";
-import { rankCarriers } from "./rankHearers.js";
+import { rankByCapacity } from "./rankStoreReaders.js";
 import { createPeerService, type PeerMessage } from "./service.js";
 import type {
   AskFailure,
@@ -184,7 +184,7 @@
     for (const link of links.values())
       link.downSince = link.isUp() ? undefined : (link.downSince ?? now);
     // With no link up it is this box that is out of reach.
-    if (links.size < MOST_LINKS || listUp().length === 0) return;
+    if (links.size < MAX_LINKS || listUp().length === 0) return;
     const lost = [...links.keys()].filter((box) => isDownFor(box, AVOIDED_AFTER_MS));
     for (const box of lost) avoidedUntil.set(box, now + AVOIDED_MS);
   };
@@ -240,7 +240,7 @@
       if (peers.length === 0) return;
       peersByBox = new Map(peers.map((peer) => [peer.box, peer]));
       const others = peers.filter(({ box }) => box !== own.box);
-      ranked = rankCarriers([own, ...others]);
+      ranked = rankByCapacity([own, ...others]);
       setLinks();
       hubs = { at: -Infinity, boxes: [] };
       if (!reviewTimer) lookAtLinks();
--- a/packages/peers/src/peers.test.ts
+++ b/packages/peers/src/peers.test.ts
@@ -12,9 +12,9 @@
   type Ms,
   type ServiceName,
 } from "@stairgauge/common";
-import { NO_CRASH_NEWS, type CrashNews, type RequestDigest } from "@stairgauge/crashes";
+import { NO_CRASH_NEWS, type CrashUpdate, type RequestDigest } from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
-import type { LimitNews } from "@stairgauge/limits";
+import type { LimitUpdate } from "@stairgauge/limits";
 import {
   BEFORE_ALL,
   createTableMirror,
@@ -38,8 +38,8 @@
   type PlaceQuestion,
   type RunUpdate,
   type TableQuestion,
-  type ToldLeaving,
-  type ToldReport,
+  type SharedLeaving,
+  type SharedReport,
 } from "./index.js";
 import { toEqualMember } from "./sharedKnowledge.testkit.js";
 import { decodeAnswer, decodeQuestion, encodeAnswer } from "./tableCodec.js";
@@ -49,12 +49,12 @@
 
 const server = "e1" as ServerId;
 const DIGEST = "0123456789abcdef0123456789abcdef" as RequestDigest;
-const KNOWN_CRASHES: CrashNews = {
+const KNOWN_CRASHES: CrashUpdate = {
   ends: [{ digest: DIGEST, server, age: 40 as Ms }],
   served: [],
 };
 
-const KNOWN_LIMITS: LimitNews = {
+const KNOWN_LIMITS: LimitUpdate = {
   named: [{ server, perSecond: 1.7, knownFor: 900 as Ms, age: 40 as Ms }],
   lifted: [{ server: "e2" as ServerId, age: 25 as Ms }],
 };
@@ -75,7 +75,7 @@
   ],
 };
 
-const MOST_SILENCE = 1_000 as Ms;
+const MAX_SILENCE = 1_000 as Ms;
 
 const closers: (() => void)[] = [];
 afterEach(() => {
@@ -87,17 +87,17 @@
   while (!isMet()) await new Promise((resolve) => setTimeout(resolve, 5));
 };
 
-const openListener = async (greeting: CrashNews = NO_CRASH_NEWS) => {
+const openListener = async (greeting: CrashUpdate = NO_CRASH_NEWS) => {
   const book = createLoadBook();
   const lost: string[] = [];
-  const leaving: ToldLeaving[] = [];
-  const reports: ToldReport[] = [];
+  const leaving: SharedLeaving[] = [];
+  const reports: SharedReport[] = [];
   const outcomes: string[] = [];
   const places: PlaceQuestion[] = [];
   const withdrawn: string[] = [];
   const messages: PeerMessage[] = [];
-  const crashes: CrashNews[] = [];
-  const limits: Readonly<{ news: LimitNews; by: BoxName }>[] = [];
+  const crashes: CrashUpdate[] = [];
+  const limits: Readonly<{ news: LimitUpdate; by: BoxName }>[] = [];
   const mirrors = new Map<string, TableMirror>();
   const pulse = createTableMirror(createSystemClock());
   const server = createPeerServer({
@@ -121,7 +121,7 @@
     },
     answerTable: (question) =>
       answerTable(
-        { mirrors, pulse, mostSilence: MOST_SILENCE, catchUpWait: 0 as Ms },
+        { mirrors, pulse, mostSilence: MAX_SILENCE, catchUpWait: 0 as Ms },
         question,
       ),
     answerPlace: (question, signal) => {
@@ -157,7 +157,7 @@
 const openTeller = () => {
   const clock = createSystemClock();
   const own = "a" as BoxName;
-  const leaving: ToldLeaving[] = [];
+  const leaving: SharedLeaving[] = [];
   const notices: HubNotice[] = [];
   const tellers: BoxName[] = [];
   const book = createLoadBook((change) => teller.takeChange(change));
@@ -227,7 +227,7 @@
     here.links.setPeers([there.peer]);
     await waitFor(() => there.leaving.length === 1);
     const next = { server: "e2" as ServerId, basis: "entry_gone" as const };
-    here.teller.tellLeaving(next);
+    here.teller.reportLeaving(next);
     await waitFor(() => there.leaving.length === 2);
     expect(there.leaving).toEqual([told, next]);
   });
@@ -243,7 +243,7 @@
     await waitFor(() =>
       listeners.every(({ book }) => book.listPeerRuns(server).length === 1),
     );
-    here.teller.tellLeaving(told);
+    here.teller.reportLeaving(told);
     here.book.removeRun(server, run.id);
     await waitFor(() =>
       listeners.every(({ book }) => book.listPeerRuns(server).length === 0),
@@ -305,7 +305,7 @@
     const here = openTeller();
     here.links.setPeers([there.peer]);
     await waitFor(() => here.links.listUp().length === 1);
-    here.teller.tellBroken(server);
+    here.teller.reportBroken(server);
     here.book.addRun(server, makeRun("r"));
     here.book.markBegun(server, "r");
     await waitFor(() => there.outcomes.length === 2);
@@ -563,7 +563,7 @@
         ["other", other],
       ]),
       pulse,
-      mostSilence: MOST_SILENCE,
+      mostSilence: MAX_SILENCE,
       catchUpWait: 0 as Ms,
     };
     const whole = await answerTable(sources, {
--- a/packages/peers/src/rankHearers.ts
+++ b/packages/peers/src/rankStoreReaders.ts
@@ -26,7 +26,7 @@
  * Boxes that ask one hearer: a configuration of 30 kB, 40 kB as it is told, goes to all of them within 0.5 s over 70 Mbit/s, which the
  * strong boxes of the users' sites have. Each of five hearers made some 150 calls to the store in 34 s.
  */
-const MOST_ASKERS = 100;
+const MAX_ASKERS = 100;
 
 /**
  * Takes from each data hall in turn, keeping the order within it, so that the loss of a hall leaves a box that hears the store: by lot
@@ -51,7 +51,7 @@
  * Puts boxes in the order in which they carry what all need to know: the strong ones first, those of each data hall in turn, by lot
  * among equals.
  */
-export const rankCarriers = (members: readonly Member[]): readonly BoxName[] => {
+export const rankByCapacity = (members: readonly Member[]): readonly BoxName[] => {
   const most = Math.max(...members.map(({ capacity }) => capacity));
   const isStrong = ({ capacity }: Member) => capacity >= most * STRONG_SHARE;
   const rank = (some: readonly Member[]) => {
@@ -64,15 +64,16 @@
 };
 
 /** How many boxes hear the store: at least `least`, and more where there are many to tell. */
-export const countHearers = (boxes: number, least: number): number =>
-  Math.max(least, Math.ceil(boxes / MOST_ASKERS));
+export const countStoreReaders = (boxes: number, least: number): number =>
+  Math.max(least, Math.ceil(boxes / MAX_ASKERS));
 
 /** Names the boxes that hear the store, of those that a box is linked to and itself; `boxes` are all there are. */
-export const rankHearers = (
+export const rankStoreReaders = (
   members: readonly Member[],
   least: number,
   boxes = members.length,
-): readonly BoxName[] => rankCarriers(members).slice(0, countHearers(boxes, least));
+): readonly BoxName[] =>
+  rankByCapacity(members).slice(0, countStoreReaders(boxes, least));
 
 /** Puts hearers in the order in which one box asks them; boxes that ask are spread over them. */
 export const rankForAsker = (
--- a/packages/peers/src/rowCodec.ts
+++ b/packages/peers/src/rowCodec.ts
@@ -30,7 +30,7 @@
 const COMPRESSED_FROM_BYTES = 4 * 1024;
 
 /** More than any row of the store holds; what claims to be larger is refused. */
-const MOST_VALUE_BYTES = 16 * 1024 * 1024;
+const MAX_VALUE_BYTES = 16 * 1024 * 1024;
 
 /** Each value is compressed once, however many boxes ask for it. */
 const compressed = new WeakMap<Buffer, string>();
@@ -63,7 +63,7 @@
     .transform(({ key, zipped, ...wire }) => ({
       key,
       revision: fromWireRevision(wire),
-      value: gunzipSync(fromBase64(zipped), { maxOutputLength: MOST_VALUE_BYTES }),
+      value: gunzipSync(fromBase64(zipped), { maxOutputLength: MAX_VALUE_BYTES }),
     })),
 ]);
 
--- a/packages/peers/src/runTeller.ts
+++ b/packages/peers/src/runReporter.ts
@@ -1,16 +1,16 @@
 /** Collects changes of this box's runs and tells them together. */
 import type { BoxName, Clock, Ms } from "@stairgauge/common";
-import { NO_CRASH_NEWS, type CrashNews } from "@stairgauge/crashes";
+import { NO_CRASH_NEWS, type CrashUpdate } from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
-import { NO_LIMIT_NEWS, type LimitNews } from "@stairgauge/limits";
+import { NO_LIMIT_NEWS, type LimitUpdate } from "@stairgauge/limits";
 import type { LoadBook, RunChange } from "@stairgauge/placement";
-import type { RunUpdate, ToldLeaving, ToldReport } from "./types.js";
+import type { RunUpdate, SharedLeaving, SharedReport } from "./types.js";
 
 /** Changes within this time go out together; a placement by another box should see them. */
 const GATHER_MS = 3 as Ms;
 
 /** What telling needs. */
-export type RunTellerOptions = Readonly<{
+export type RunReporterOptions = Readonly<{
   clock: Clock;
   own: BoxName;
   book: LoadBook;
@@ -18,36 +18,36 @@
   /** Sends to a few boxes, which pass it on. */
   sendToSome: (update: RunUpdate) => void;
   /** Servers that left lately. */
-  listLeaving: () => readonly ToldLeaving[];
+  listLeaving: () => readonly SharedLeaving[];
   /** All that is known of requests that end servers. */
-  listCrashes: () => CrashNews;
+  listCrashes: () => CrashUpdate;
   /** All that is known of limits that servers name. */
-  listLimits: () => LimitNews;
+  listLimits: () => LimitUpdate;
 }>;
 
 /** Tells the runs of one box. */
-export type RunTeller = Readonly<{
+export type RunReporter = Readonly<{
   takeChange: (change: RunChange) => void;
   /** An engine has reported to this box. */
-  takeReport: (told: ToldReport) => void;
+  takeReport: (told: SharedReport) => void;
   makeWhole: () => RunUpdate;
   /** A server gets no new work: a few boxes hear it, and pass it on. */
-  tellLeaving: (told: ToldLeaving) => void;
+  reportLeaving: (told: SharedLeaving) => void;
   /** A server says that it gets no new work: all that this box is linked to hear it at once. */
-  tellOwnWord: (told: ToldLeaving) => void;
+  reportAnnouncedLeaving: (told: SharedLeaving) => void;
   /** A server broke a request off: told at once, since whoever places next would choose it. */
-  tellBroken: (server: ServerId) => void;
+  reportBroken: (server: ServerId) => void;
   /** Servers ended under requests of this box, or it served such a request. */
-  takeCrashes: (news: CrashNews) => void;
+  takeCrashes: (news: CrashUpdate) => void;
   /** Servers have told this box of their limits. */
-  takeLimits: (news: LimitNews) => void;
+  takeLimits: (news: LimitUpdate) => void;
 }>;
 
 /** Creates the teller. */
-export const createRunTeller = (options: RunTellerOptions): RunTeller => {
+export const createRunReporter = (options: RunReporterOptions): RunReporter => {
   const { clock, own, book, send, sendToSome } = options;
   let pending: RunChange[] = [];
-  let reports: ToldReport[] = [];
+  let reports: SharedReport[] = [];
   let crashes = NO_CRASH_NEWS;
   let limits = NO_LIMIT_NEWS;
   let isScheduled = false;
@@ -126,8 +126,8 @@
       };
       schedule();
     },
-    tellBroken: (server) => send(buildUpdate({ broken: [server] })),
-    tellLeaving: (told) => sendToSome(buildUpdate({ leaving: [told] })),
-    tellOwnWord: (told) => send(buildUpdate({ leaving: [told] })),
+    reportBroken: (server) => send(buildUpdate({ broken: [server] })),
+    reportLeaving: (told) => sendToSome(buildUpdate({ leaving: [told] })),
+    reportAnnouncedLeaving: (told) => send(buildUpdate({ leaving: [told] })),
   };
 };
--- a/packages/peers/src/sharedKnowledge.test.ts
+++ b/packages/peers/src/sharedKnowledge.test.ts
@@ -2,7 +2,12 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { BoxName } from "@stairgauge/common";
-import { countHearers, rankCarriers, rankForAsker, rankHearers } from "./rankHearers.js";
+import {
+  countStoreReaders,
+  rankByCapacity,
+  rankForAsker,
+  rankStoreReaders,
+} from "./rankStoreReaders.js";
 import { SECOND_LINE } from "./sharedReader.js";
 import {
   BOUND_MS,
@@ -20,7 +25,7 @@
 const members = names.map(toEqualMember);
 
 /** The boxes of the small world that hear the store. */
-const HEARERS = rankHearers(members.slice(0, BOXES), 2).map((name) =>
+const HEARERS = rankStoreReaders(members.slice(0, BOXES), 2).map((name) =>
   names.indexOf(name),
 );
 
@@ -83,31 +88,33 @@
 
 describe("rankHearers", () => {
   it("names the same boxes whatever the order in which they are known", () => {
-    expect(rankHearers(members.toReversed(), 3)).toEqual(rankHearers(members, 3));
-    expect(rankHearers(members, 3)).toHaveLength(3);
-    expect(rankHearers(members.slice(0, 1), 3)).toEqual(names.slice(0, 1));
+    expect(rankStoreReaders(members.toReversed(), 3)).toEqual(
+      rankStoreReaders(members, 3),
+    );
+    expect(rankStoreReaders(members, 3)).toHaveLength(3);
+    expect(rankStoreReaders(members.slice(0, 1), 3)).toEqual(names.slice(0, 1));
   });
 
   it("keeps the others when one goes", () => {
-    const [first, ...rest] = rankHearers(members, 3);
+    const [first, ...rest] = rankStoreReaders(members, 3);
     const left = members.filter(({ box }) => box !== first);
-    expect(rankHearers(left, 3).slice(0, 2)).toEqual(rest);
+    expect(rankStoreReaders(left, 3).slice(0, 2)).toEqual(rest);
   });
 
   it("prefers boxes that can hand on more, and names more where there are many to tell", () => {
     const weak = names.map((box) => ({ box: `weak ${box}` as BoxName, capacity: 2 }));
     const strong = members.map(({ box }) => ({ box, capacity: 190 }));
-    const hearers = rankHearers([...weak, ...strong.slice(0, 10)], 2);
+    const hearers = rankStoreReaders([...weak, ...strong.slice(0, 10)], 2);
     expect(hearers).toHaveLength(2);
     expect(hearers.filter((box) => box.startsWith("weak"))).toEqual([]);
     const many = Array.from({ length: 400 }, (_, i) => toEqualMember(`b${i}` as BoxName));
-    expect(rankHearers(many, 2)).toHaveLength(4);
+    expect(rankStoreReaders(many, 2)).toHaveLength(4);
     // Also where a box is linked to a few of them only.
-    expect(rankHearers(many.slice(0, 6), 2, 400)).toHaveLength(4);
+    expect(rankStoreReaders(many.slice(0, 6), 2, 400)).toHaveLength(4);
   });
 
   it("spreads those who ask over those who hear", () => {
-    const hearers = rankHearers(members, 2);
+    const hearers = rankStoreReaders(members, 2);
     const firsts = names.map((name) => rankForAsker(hearers, name)[0]);
     for (const hearer of hearers)
       expect(firsts.filter((first) => first === hearer).length).toBeGreaterThan(8);
@@ -296,7 +303,7 @@
   [473, 2],
 ])("%i boxes that are linked to hubs", (boxes, numRuns) => {
   const all = Array.from({ length: boxes }, (_, i) => `box-${i}` as BoxName);
-  const carriers = rankCarriers(all.map(toEqualMember))
+  const carriers = rankByCapacity(all.map(toEqualMember))
     .slice(0, 3)
     .map((name) => all.indexOf(name));
   const HUB_DAY = fc.record({
@@ -335,8 +342,8 @@
   }, 120_000);
 
   it("leave the store to one of the next carriers when it turns away those that hear it", async () => {
-    const hearing = rankCarriers(all.map(toEqualMember))
-      .slice(0, countHearers(boxes, 2))
+    const hearing = rankByCapacity(all.map(toEqualMember))
+      .slice(0, countStoreReaders(boxes, 2))
       .map((name) => all.indexOf(name));
     const troubles = hearing.map((box) => ({
       kind: "cut_from_store" as const,
@@ -384,7 +391,7 @@
     world.stop();
     expect(all.filter((_, box) => box !== first && world.knownBy[box]! < 2)).toEqual([]);
     const asking = world.storeCalls.filter((calls, box) => calls > before[box]!);
-    expect(asking.length).toBe(countHearers(boxes, 2));
+    expect(asking.length).toBe(countStoreReaders(boxes, 2));
   }, 60_000);
 
   it("ask the store once at the start, and then only the few that hear it", async () => {
@@ -400,6 +407,6 @@
     await world.runUntil(5_000);
     world.stop();
     const asking = world.storeCalls.filter((calls) => calls > 1).length;
-    expect(asking).toBe(countHearers(boxes, 2));
+    expect(asking).toBe(countStoreReaders(boxes, 2));
   }, 60_000);
 });
--- a/packages/peers/src/sharedKnowledge.testkit.ts
+++ b/packages/peers/src/sharedKnowledge.testkit.ts
@@ -22,7 +22,7 @@
 } from "@stairgauge/storefeed";
 import { chooseLinks } from "./hubs.js";
 import { answerTable, createSharedReader } from "./index.js";
-import { rankCarriers } from "./rankHearers.js";
+import { rankByCapacity } from "./rankStoreReaders.js";
 import type { AskFailure, Member, TableAnswer } from "./types.js";
 
 /** Boxes that differ in nothing but their names. */
@@ -31,7 +31,7 @@
 export const TABLE = "operator";
 export const BOUND_MS = 2_000;
 const WAIT_MS = 400 as Ms;
-const MOST_SILENCE_MS = 1_000 as Ms;
+const MAX_SILENCE_MS = 1_000 as Ms;
 const PATIENCE_MS = 400 as Ms;
 export const GUARD_MS = 1_500 as Ms;
 const KEY = "config";
@@ -255,7 +255,7 @@
     return { box, clock, mirror, sink: mirror.observe(sink) };
   });
 
-  const ranked = rankCarriers(names.map(toEqualMember));
+  const ranked = rankByCapacity(names.map(toEqualMember));
   const isGone = (name: BoxName) => isEnded(names.indexOf(name));
   const listLinked = (own: BoxName): readonly BoxName[] =>
     hubLinksUpAt === undefined
@@ -296,7 +296,7 @@
                 {
                   mirrors: new Map([[TABLE, mirrors[to]!.mirror]]),
                   pulse: mirrors[to]!.mirror,
-                  mostSilence: MOST_SILENCE_MS,
+                  mostSilence: MAX_SILENCE_MS,
                   catchUpWait: (PATIENCE_MS / 2) as Ms,
                 },
                 question,
@@ -310,7 +310,7 @@
           }),
       },
       hearers: 2,
-      mostSilence: MOST_SILENCE_MS,
+      mostSilence: MAX_SILENCE_MS,
       relayedWaits: 1.5,
       guard: { table: TABLE, age: GUARD_MS },
       patience: PATIENCE_MS,
--- a/packages/peers/src/sharedReader.test.ts
+++ b/packages/peers/src/sharedReader.test.ts
@@ -16,7 +16,7 @@
   type StoreReader,
   type WholeRequest,
 } from "@stairgauge/storefeed";
-import { rankForAsker, rankHearers } from "./rankHearers.js";
+import { rankForAsker, rankStoreReaders } from "./rankStoreReaders.js";
 import { createSharedReader } from "./sharedReader.js";
 import { toEqualMember } from "./sharedKnowledge.testkit.js";
 import type { TableAnswer } from "./types.js";
@@ -26,7 +26,7 @@
 const members = Array.from({ length: 20 }, (_, i) =>
   toEqualMember(`box-${i}` as BoxName),
 );
-const hearers = rankHearers(members, 2);
+const hearers = rankStoreReaders(members, 2);
 const own = members.find(({ box }) => !hearers.includes(box))!;
 const [first, second] = rankForAsker(hearers, own.box);
 
--- a/packages/peers/src/sharedReader.ts
+++ b/packages/peers/src/sharedReader.ts
@@ -25,7 +25,7 @@
   type WholeRequest,
 } from "@stairgauge/storefeed";
 import type { PeerLinks } from "./peerLinks.js";
-import { rankCarriers, rankForAsker, rankHearers } from "./rankHearers.js";
+import { rankByCapacity, rankForAsker, rankStoreReaders } from "./rankStoreReaders.js";
 import type { Member, TableAnswer, TableQuestion } from "./types.js";
 
 /** Why a box is not asked for a while. */
@@ -94,11 +94,15 @@
   };
 
   const listHearers = () =>
-    rankHearers([own, ...links.listReachable()], options.hearers, links.countBoxes());
+    rankStoreReaders(
+      [own, ...links.listReachable()],
+      options.hearers,
+      links.countBoxes(),
+    );
 
   /** Boxes that stand in for those who hear the store; each asks only those before it, so that none asks in a circle. */
   const listSecondLine = (hearers: readonly BoxName[]): readonly BoxName[] => {
-    const ranked = rankCarriers([own, ...links.listReachable()]);
+    const ranked = rankByCapacity([own, ...links.listReachable()]);
     const before = ranked.slice(0, ranked.indexOf(own.box));
     return before.filter((box) => !hearers.includes(box)).slice(0, SECOND_LINE);
   };
--- a/packages/peers/src/types.ts
+++ b/packages/peers/src/types.ts
@@ -3,8 +3,8 @@
  * Tables of the store are handed on with their age, by which promises are kept.
  */
 import type { BoxName, DataHallName, Ms } from "@stairgauge/common";
-import type { CrashNews } from "@stairgauge/crashes";
-import type { LimitNews } from "@stairgauge/limits";
+import type { CrashUpdate } from "@stairgauge/crashes";
+import type { LimitUpdate } from "@stairgauge/limits";
 import type {
   RowChange,
   StoredRow,
@@ -36,10 +36,10 @@
 export type Peer = Member & Readonly<{ address: ServerAddress }>;
 
 /** A server that leaves, and what the box that tells it rests on. */
-export type ToldLeaving = Readonly<{ server: ServerId; basis: LeavingBasis }>;
+export type SharedLeaving = Readonly<{ server: ServerId; basis: LeavingBasis }>;
 
 /** A report that a box has just had from an engine. */
-export type ToldReport = Readonly<{ server: ServerId; report: EngineReport }>;
+export type SharedReport = Readonly<{ server: ServerId; report: EngineReport }>;
 
 /** Changes of one box's runs, or all of them. */
 export type RunUpdate = Readonly<{
@@ -49,29 +49,29 @@
   put: readonly Readonly<{ server: ServerId; run: PlacedRun }>[];
   drop: readonly Readonly<{ server: ServerId; id: string }>[];
   /** Servers that get no new work, as far as the box knows. */
-  leaving: readonly ToldLeaving[];
+  leaving: readonly SharedLeaving[];
   /** Reports that came since the last update. */
-  reports: readonly ToldReport[];
+  reports: readonly SharedReport[];
   /** Servers that broke requests of the box off before they answered. */
   broken: readonly ServerId[];
   /** Requests under which servers ended, as the box has seen it, or all that it knows. */
-  crashes: CrashNews;
+  crashes: CrashUpdate;
   /** Limits that servers name, as the box has heard them, or all that it knows. */
-  limits: LimitNews;
+  limits: LimitUpdate;
 }>;
 
 /** Rows of one table that count at a box against the store's word. */
-export type ToldUnsettled = UnsettledRows & Readonly<{ table: string }>;
+export type SharedUnsettledRows = UnsettledRows & Readonly<{ table: string }>;
 
 /**
  * What a box tells those that are linked to it: of servers at which they have runs, requests that end servers, limits, and
  * what it knows beyond the copy that the store has come back from.
  */
 export type HubNotice = Readonly<{
-  leaving: readonly ToldLeaving[];
-  crashes: CrashNews;
-  limits: LimitNews;
-  unsettled: readonly ToldUnsettled[];
+  leaving: readonly SharedLeaving[];
+  crashes: CrashUpdate;
+  limits: LimitUpdate;
+  unsettled: readonly SharedUnsettledRows[];
 }>;
 
 /** What one box asks another of a table: all of it, or its changes as soon as there is news. */
--- a/packages/peers/src/updateCodec.ts
+++ b/packages/peers/src/updateCodec.ts
@@ -3,20 +3,20 @@
 import {
   NO_CRASH_NEWS,
   REQUEST_DIGEST,
-  type CrashNews,
+  type CrashUpdate,
   type RequestDigest,
 } from "@stairgauge/crashes";
 import type { LeavingBasis, ServerId } from "@stairgauge/directory";
-import { NO_LIMIT_NEWS, type LimitNews } from "@stairgauge/limits";
+import { NO_LIMIT_NEWS, type LimitUpdate } from "@stairgauge/limits";
 import type { PlacedRun } from "@stairgauge/placement";
 import { z } from "zod";
 import { count, rowSchema, toWireRow } from "./rowCodec.js";
 import type {
   HubNotice,
   RunUpdate,
-  ToldLeaving,
-  ToldReport,
-  ToldUnsettled,
+  SharedLeaving,
+  SharedReport,
+  SharedUnsettledRows,
 } from "./types.js";
 
 /** A placed run on the wire. */
@@ -123,7 +123,10 @@
   limits: limitsSchema.optional(),
 });
 
-const encodeReport = ({ server, report }: ToldReport): z.infer<typeof reportSchema> => ({
+const encodeReport = ({
+  server,
+  report,
+}: SharedReport): z.infer<typeof reportSchema> => ({
   server,
   leaving: report.isLeaving,
   ...(report.leavesIn !== undefined && { leavesIn: report.leavesIn }),
@@ -135,7 +138,7 @@
   runs: report.runs.map((run) => [run.id, run.tokensInMemory, run.eventsMade]),
 });
 
-const decodeReport = (told: z.infer<typeof reportSchema>): ToldReport => ({
+const decodeReport = (told: z.infer<typeof reportSchema>): SharedReport => ({
   server: told.server as ServerId,
   report: {
     // The id that it is told under names the start.
@@ -155,7 +158,9 @@
   },
 });
 
-const encodeLeaving = (leaving: readonly ToldLeaving[]): z.input<typeof leavingSchema> =>
+const encodeLeaving = (
+  leaving: readonly SharedLeaving[],
+): z.input<typeof leavingSchema> =>
   leaving.map(({ server, basis }) => ({
     server,
     gone: basis === "entry_gone",
@@ -167,14 +172,16 @@
   return told.gone ? "entry_gone" : "concluded";
 };
 
-const decodeLeaving = (leaving: z.infer<typeof leavingSchema>): readonly ToldLeaving[] =>
+const decodeLeaving = (
+  leaving: z.infer<typeof leavingSchema>,
+): readonly SharedLeaving[] =>
   leaving.map((told) => ({ server: told.server as ServerId, basis: toBasis(told) }));
 
 /** News of which there is none takes no bytes. */
-const encodeCrashes = (crashes: CrashNews) =>
+const encodeCrashes = (crashes: CrashUpdate) =>
   crashes.ends.length + crashes.served.length > 0 ? { crashes } : {};
 
-const decodeCrashes = (told: z.infer<typeof crashesSchema> | undefined): CrashNews =>
+const decodeCrashes = (told: z.infer<typeof crashesSchema> | undefined): CrashUpdate =>
   told === undefined
     ? NO_CRASH_NEWS
     : {
@@ -186,10 +193,10 @@
         served: told.served.map((digest) => digest as RequestDigest),
       };
 
-const encodeLimits = (limits: LimitNews) =>
+const encodeLimits = (limits: LimitUpdate) =>
   limits.named.length + limits.lifted.length > 0 ? { limits } : {};
 
-const decodeLimits = (told: z.infer<typeof limitsSchema> | undefined): LimitNews =>
+const decodeLimits = (told: z.infer<typeof limitsSchema> | undefined): LimitUpdate =>
   told === undefined
     ? NO_LIMIT_NEWS
     : {
@@ -205,7 +212,7 @@
         })),
       };
 
-const encodeUnsettled = (unsettled: readonly ToldUnsettled[]) =>
+const encodeUnsettled = (unsettled: readonly SharedUnsettledRows[]) =>
   unsettled.length === 0
     ? {}
     : {
--- a/packages/peers/src/watchShares.ts
+++ b/packages/peers/src/watchShares.ts
@@ -5,7 +5,7 @@
 import type { BoxName } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { PeerLinks } from "./peerLinks.js";
-import { rankByHash } from "./rankHearers.js";
+import { rankByHash } from "./rankStoreReaders.js";
 
 /** Boxes that watch one engine. */
 const WATCHERS = 2;
--- a/packages/placement/src/chooseServer.ts
+++ b/packages/placement/src/chooseServer.ts
@@ -2,7 +2,7 @@
 import type { DataHallName, Ms, Random } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import type { EngineWay } from "./engineWays.js";
-import type { KeptReport, LoadBook, PlacedRun } from "./loadBook.js";
+import type { KeptReport, LoadRegistry, PlacedRun } from "./loadRegistry.js";
 import type { Demand, PlacementDecision } from "./types.js";
 
 /**
@@ -18,7 +18,7 @@
 export type ChoiceInputs = Readonly<{
   candidates: readonly BackendServer[];
   demand: Pick<Demand, "tokens">;
-  book: LoadBook;
+  book: LoadRegistry;
   ownHall: DataHallName;
   way: EngineWay;
   /** Placements of other boxes that this one does not see yet, as expected. */
@@ -47,7 +47,7 @@
 const ASSUMED_PROMPT_TOKENS = 2_600;
 
 /** Loads closer together than this are as good as equal, given how old reports are. */
-const LEAST_JITTER = 0.06;
+const MIN_JITTER = 0.06;
 
 /** A draw lies half its range above the least in the mean: the range is twice the load that is to be made up for. */
 const RIVAL_SPREAD = 2;
@@ -81,7 +81,7 @@
 /** Works an engine's load out: runs of this box and of its peers as placed, other runs as last reported. */
 export const estimateEngineLoad = (
   server: BackendServer,
-  book: LoadBook,
+  book: LoadRegistry,
   now: Ms,
 ): EngineLoad => {
   const { id } = server.entry;
@@ -136,7 +136,7 @@
   const added = (needed + backlogWeight * prompt) / total;
   const expected = Math.max(0, rivals - IGNORED_RIVALS);
   const jitter =
-    random.nextFloat() * Math.max(LEAST_JITTER, RIVAL_SPREAD * expected * added);
+    random.nextFloat() * Math.max(MIN_JITTER, RIVAL_SPREAD * expected * added);
   return {
     server,
     load: (taken + backlogWeight * backlog) / total + jitter,
--- a/packages/placement/src/rivalRate.ts
+++ b/packages/placement/src/competingRate.ts
@@ -11,7 +11,7 @@
 const MEMORY_MS = 2_000;
 
 /** Counts what others tell of their placements. */
-export type RivalRate = Readonly<{
+export type CompetingRate = Readonly<{
   /** Another box has told of new placements. */
   record: (count: number, now: Ms) => void;
   /** Placements made elsewhere and not seen here, as expected now. */
@@ -19,7 +19,7 @@
 }>;
 
 /** Creates a rate of nothing. */
-export const createRivalRate = (): RivalRate => {
+export const createCompetingRate = (): CompetingRate => {
   let weight = 0;
   let countedAt = 0;
 
--- a/packages/placement/src/computeConnectionShare.ts
+++ b/packages/placement/src/computeConnectionShare.ts
@@ -4,7 +4,7 @@
 const KEPT_FREE = 2;
 
 /** A box alone among many still gets work through. */
-const LEAST_SHARE = 1;
+const MIN_SHARE = 1;
 
 /** Divides a server's limit among the boxes known; without a limit there is none for the box either. */
 export const computeConnectionShare = (
@@ -12,5 +12,5 @@
   boxes: number,
 ): number => {
   if (limit === undefined) return Infinity;
-  return Math.max(LEAST_SHARE, Math.floor(limit / Math.max(1, boxes)) - KEPT_FREE);
+  return Math.max(MIN_SHARE, Math.floor(limit / Math.max(1, boxes)) - KEPT_FREE);
 };
--- a/packages/placement/src/computeFleetShare.ts
+++ b/packages/placement/src/computeFleetShare.ts
@@ -21,12 +21,12 @@
 const FIRST_PART = 0.7;
 
 /** Boxes that may come to place for all others. */
-const MOST_PLACERS = 4;
+const MAX_PLACERS = 4;
 
 const computePlacerPart = (bound: number, rank: number): number =>
   Math.floor(bound * FIRST_PART * (1 - FIRST_PART) ** rank);
 
-const PLACER_RANKS = Array.from({ length: MOST_PLACERS }, (_, rank) => rank);
+const PLACER_RANKS = Array.from({ length: MAX_PLACERS }, (_, rank) => rank);
 
 const computeRest = (bound: number, { boxes, isPlacedByFirst }: FleetPart): number => {
   if (!isPlacedByFirst) return bound;
@@ -60,6 +60,6 @@
 ): number => {
   const whole = Math.floor(bound);
   const rest = computeEqualPart(computeRest(whole, part), part, server);
-  if (!part.isPlacedByFirst || part.rank >= MOST_PLACERS) return rest;
+  if (!part.isPlacedByFirst || part.rank >= MAX_PLACERS) return rest;
   return rest + computePlacerPart(whole, part.rank);
 };
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,7 +1,13 @@
 /** Which server takes a request. */
 export type * from "./types.js";
-export { createLoadBook } from "./loadBook.js";
-export type { KeptReport, LoadBook, PlacedAt, PlacedRun, RunChange } from "./loadBook.js";
+export { createLoadRegistry as createLoadBook } from "./loadRegistry.js";
+export type {
+  KeptReport,
+  LoadRegistry as LoadBook,
+  PlacedAt,
+  PlacedRun,
+  RunChange,
+} from "./loadRegistry.js";
 export { findCopiedRun, toCopyId } from "./copyId.js";
 export { computeFleetShare } from "./computeFleetShare.js";
 export type { FleetPart } from "./computeFleetShare.js";
@@ -14,7 +20,7 @@
 export type { ChoiceInputs, EngineLoad } from "./chooseServer.js";
 export { ENGINE_WAYS } from "./engineWays.js";
 export type { EngineWay, EngineWayName } from "./engineWays.js";
-export { createRivalRate } from "./rivalRate.js";
-export type { RivalRate } from "./rivalRate.js";
+export { createCompetingRate as createRivalRate } from "./competingRate.js";
+export type { CompetingRate as RivalRate } from "./competingRate.js";
 export { rankTargets } from "./rankTargets.js";
 export type { MoveTarget, RunToMove } from "./rankTargets.js";
--- a/packages/placement/src/loadBook.ts
+++ b/packages/placement/src/loadRegistry.ts
@@ -29,7 +29,7 @@
 export type KeptReport = Readonly<{ report: EngineReport; at: Ms }>;
 
 /** The book of one box. */
-export type LoadBook = Readonly<{
+export type LoadRegistry = Readonly<{
   addOpen: (server: ServerId) => void;
   removeOpen: (server: ServerId) => void;
   countOpen: (server: ServerId) => number;
@@ -68,9 +68,9 @@
 };
 
 /** Creates an empty book; `onChange` hears each change of this box's own runs. */
-export const createLoadBook = (
+export const createLoadRegistry = (
   onChange: (change: RunChange) => void = () => undefined,
-): LoadBook => {
+): LoadRegistry => {
   const open = new Map<ServerId, number>();
   const runs: RunsByServer = new Map();
   const peers = new Map<string, RunsByServer>();
--- a/packages/placement/src/rankTargets.ts
+++ b/packages/placement/src/rankTargets.ts
@@ -30,7 +30,7 @@
 const NEAR_WORTH = 0.15;
 const NEAR_WORTH_UNDER_PRESSURE = 0.35;
 /** Beyond this a target that is full would be preferred. */
-const MOST_PRESSURE = 2;
+const MAX_PRESSURE = 2;
 
 /** Load up to which nearness counts: beyond it the runs that are there already would pay for it. */
 const CROWDED_LOAD = 0.85;
@@ -51,7 +51,7 @@
   const fullness = load > FULL_LOAD ? 1 : 0;
   if (!room.target.isNear || load > CROWDED_LOAD) return load + fullness;
   const nearWorth =
-    NEAR_WORTH + NEAR_WORTH_UNDER_PRESSURE * Math.min(MOST_PRESSURE, pressure);
+    NEAR_WORTH + NEAR_WORTH_UNDER_PRESSURE * Math.min(MAX_PRESSURE, pressure);
   return load + fullness - nearWorth;
 };
 
--- a/packages/placement/src/types.ts
+++ b/packages/placement/src/types.ts
@@ -1,7 +1,7 @@
 /** What placement knows of servers and requests. */
 import type { BackendServer, ServerId } from "@stairgauge/directory";
 import type { BoxName, Ms, RegionName, ServiceName } from "@stairgauge/common";
-import type { PlacedRun } from "./loadBook.js";
+import type { PlacedRun } from "./loadRegistry.js";
 
 /** A run that an engine reports. */
 export type ReportedRun = Readonly<{
--- a/packages/routing/src/configurationKeeper.ts
+++ b/packages/routing/src/configurationHolder.ts
@@ -12,7 +12,7 @@
 >;
 
 /** How much a box may decide on what it knows. */
-export type Standing =
+export type ConfigurationFreshness =
   /** Nothing was read yet. */
   | "unknown"
   /** Known, and confirmed lately enough to accept keys and to deny unknown ones. */
@@ -23,23 +23,23 @@
   | "expired";
 
 /** Ages at which the standing changes. */
-export type StandingLimits = Readonly<{ denyWithin: Ms; acceptWithin: Ms }>;
+export type FreshnessLimits = Readonly<{ denyWithin: Ms; acceptWithin: Ms }>;
 
 /** Holds the configuration in force. */
-export type ConfigurationKeeper = Readonly<{
+export type ConfigurationHolder = Readonly<{
   /** Takes a configuration that was in force at `asOf`; versions never go back. */
   adopt: (configuration: FleetConfiguration, asOf: Ms) => AdoptOutcome;
   /** Notes that the store had nothing newer at `asOf`. */
   confirm: (asOf: Ms) => void;
   getIndex: () => ConfigurationIndex | undefined;
   getAge: (now: Ms) => Ms;
-  getStanding: (now: Ms) => Standing;
+  getFreshness: (now: Ms) => ConfigurationFreshness;
 }>;
 
 /** Creates a keeper that knows nothing yet. */
-export const createConfigurationKeeper = (
-  limits: StandingLimits,
-): ConfigurationKeeper => {
+export const createConfigurationHolder = (
+  limits: FreshnessLimits,
+): ConfigurationHolder => {
   let index: ConfigurationIndex | undefined;
   let confirmedAt = -Infinity;
 
@@ -62,7 +62,7 @@
     confirm,
     getIndex: () => index,
     getAge,
-    getStanding: (now) => {
+    getFreshness: (now) => {
       if (!index) return "unknown";
       const age = getAge(now);
       if (age <= limits.denyWithin) return "current";
--- a/packages/routing/src/decideAccess.ts
+++ b/packages/routing/src/decideAccess.ts
@@ -1,7 +1,7 @@
 /** Whether a request is let in: its route, its workspace, or why not. Pure. */
 import type { Ms } from "@stairgauge/common";
 import type { ConfigurationIndex } from "./indexConfiguration.js";
-import type { Standing } from "./configurationKeeper.js";
+import type { ConfigurationFreshness } from "./configurationHolder.js";
 import type { Route, WorkspaceSpec } from "./types.js";
 
 /** What a request asks for. */
@@ -35,13 +35,16 @@
 });
 
 /** Denials need fresh knowledge: a route or key that is unknown here may be a new one. */
-const deny = (standing: Standing, reason: AccessRefusal, route?: Route): AccessDecision =>
-  refuse(standing === "current" ? reason : "knowledge_too_old", route);
+const deny = (
+  standing: ConfigurationFreshness,
+  reason: AccessRefusal,
+  route?: Route,
+): AccessDecision => refuse(standing === "current" ? reason : "knowledge_too_old", route);
 
 /** Decides by the configuration in force and by how lately it was confirmed. */
 export const decideAccess = (
   index: ConfigurationIndex | undefined,
-  standing: Standing,
+  standing: ConfigurationFreshness,
   request: AccessRequest,
 ): AccessDecision => {
   if (!index || standing === "unknown") return refuse("no_configuration");
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -91,14 +91,14 @@
 
   it("ages from what was last confirmed, and never gets younger by an older answer", () => {
     const keeper = makeKeeper();
-    expect(keeper.getStanding(toMs(0))).toBe("unknown");
+    expect(keeper.getFreshness(toMs(0))).toBe("unknown");
     keeper.adopt(makeConfiguration(1), toMs(0));
     keeper.confirm(toMs(-500));
-    expect(keeper.getStanding(toMs(2_000))).toBe("current");
-    expect(keeper.getStanding(toMs(2_001))).toBe("ageing");
-    expect(keeper.getStanding(toMs(4_701))).toBe("expired");
+    expect(keeper.getFreshness(toMs(2_000))).toBe("current");
+    expect(keeper.getFreshness(toMs(2_001))).toBe("ageing");
+    expect(keeper.getFreshness(toMs(4_701))).toBe("expired");
     keeper.confirm(toMs(4_000));
-    expect(keeper.getStanding(toMs(4_701))).toBe("current");
+    expect(keeper.getFreshness(toMs(4_701))).toBe("current");
   });
 });
 
--- a/packages/signs/src/constants.ts
+++ b/packages/signals/src/constants.ts
@@ -1,7 +1,7 @@
 /** The signs of an answer that says nothing of its server. */
-import type { ServerSigns } from "./types.js";
+import type { ServerSignals } from "./types.js";
 
-export const NO_SIGNS: ServerSigns = {
+export const NO_SIGNALS: ServerSignals = {
   isClosing: false,
   warmUpLeft: undefined,
   limit: { kind: "unnamed" },
--- a/packages/signs/src/takeSigns.test.ts
+++ b/packages/signals/src/dispatchSignals.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import type { Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
-import { NO_SIGNS, takeSigns, type ServerSigns, type SignTakers } from "./index.js";
+import { NO_SIGNS, takeSigns, type ServerSignals, type SignalHandlers } from "./index.js";
 
 const SERVER = {} as BackendServer;
 const SOURCE = { kind: "health" } as const;
@@ -10,20 +10,20 @@
   it("calls the taker of each sign once, with what the answer says", () => {
     const taken: unknown[] = [];
     const take =
-      (name: keyof ServerSigns) =>
+      (name: keyof ServerSignals) =>
       (heard: object): void =>
         void taken.push([name, heard]);
-    const takers: SignTakers = {
+    const takers: SignalHandlers = {
       isClosing: take("isClosing"),
       warmUpLeft: take("warmUpLeft"),
       limit: take("limit"),
       leaving: take("leaving"),
       rest: take("rest"),
     };
-    const signs = { ...NO_SIGNS, warmUpLeft: 30 as Ms };
-    takeSigns(takers, { server: SERVER, signs, source: SOURCE });
+    const signals = { ...NO_SIGNS, warmUpLeft: 30 as Ms };
+    takeSigns(takers, { server: SERVER, signals, source: SOURCE });
     expect(taken).toEqual(
-      Object.entries(signs).map(([name, sign]) => [
+      Object.entries(signals).map(([name, sign]) => [
         name,
         { server: SERVER, sign, source: SOURCE },
       ]),
--- a/packages/standins/src/usersPlatform/restRule.ts
+++ b/packages/standins/src/usersPlatform/restRule.ts
@@ -9,7 +9,7 @@
 }>;
 
 /** Requests that a box may send in a rest, from when on they count, and until when. */
-export const MOST_IN_REST = 2;
+export const MAX_IN_REST = 2;
 const FROM_MS = 500;
 
 const MS_PER_S = 1_000;
--- a/packages/storefeed/src/index.ts
+++ b/packages/storefeed/src/index.ts
@@ -1,16 +1,20 @@
 /** Following tables of the platform's store. */
 export type * from "./types.js";
 export {
-  BEFORE_ALL,
+  INITIAL_REVISION as BEFORE_ALL,
   compareRevisions,
   isEarlierRevision,
   makeRevision,
   pickLaterRevision,
-  UNTOLD_ERA,
+  UNKNOWN_ERA as UNTOLD_ERA,
 } from "./revision.js";
 export type { StoreRevision } from "./revision.js";
-export { createRevisionMark } from "./revisionMark.js";
-export type { EraChange, RevisionMark, RevisionSighting } from "./revisionMark.js";
+export { createRevisionWatermark as createRevisionMark } from "./revisionWatermark.js";
+export type {
+  EraChange,
+  RevisionWatermark as RevisionMark,
+  ObservedRevision as RevisionSighting,
+} from "./revisionWatermark.js";
 export { createTableFollower, NEW_ERA } from "./tableFollower.js";
 export { createTableMirror } from "./tableMirror.js";
 export type { MirrorFailure, TableMirror } from "./tableMirror.js";
--- a/packages/storefeed/src/restoreGuard.test.ts
+++ b/packages/storefeed/src/restoreGuard.test.ts
@@ -16,12 +16,12 @@
 /** Rows whose values are numbers that never go back; keys tell the rule for missing rows. */
 const RULES: RestoreRules = {
   isUndone: (known, copied) => Number(copied.value) < Number(known.value),
-  judgeMissing: ({ key }) => {
+  resolveMissing: ({ key }) => {
     if (key.startsWith("drop")) return { kind: "drop" };
     if (key.startsWith("keep")) return { kind: "keep" };
     return { kind: "keep_for", duration: WAIT };
   },
-  judgeDropped: ({ key }) =>
+  resolveDropped: ({ key }) =>
     key.startsWith("take") ? { kind: "take" } : { kind: "take_after", duration: WAIT },
 };
 
--- a/packages/storefeed/src/restoreGuard.ts
+++ b/packages/storefeed/src/restoreGuard.ts
@@ -3,7 +3,7 @@
  * acknowledged; whoever wrote it writes it again. Until then each table has rules for what counts.
  */
 import { assertNever, type Clock, type Ms, type Timer } from "@stairgauge/common";
-import { compareRevisions, UNTOLD_ERA, type StoreRevision } from "./revision.js";
+import { compareRevisions, UNKNOWN_ERA, type StoreRevision } from "./revision.js";
 import type { FollowerSink } from "./tableFollower.js";
 import type { RestoreReport, RestoreRules, UnsettledRows } from "./restoreTypes.js";
 import type { RowChange, StoredRow } from "./types.js";
@@ -27,7 +27,7 @@
 }>;
 
 /** Keys of dropped rows that are remembered, the latest ones. */
-const MOST_DROPPED = 4_096;
+const MAX_DROPPED = 4_096;
 
 type MutableReport = Readonly<{
   undone: string[];
@@ -64,7 +64,7 @@
     dropped.delete(key);
     dropped.add(key);
     const [oldest] = dropped;
-    if (dropped.size > MOST_DROPPED) dropped.delete(oldest!);
+    if (dropped.size > MAX_DROPPED) dropped.delete(oldest!);
   };
   const applyChange = (change: RowChange) => {
     const key = change.kind === "put" ? change.row.key : change.key;
@@ -95,7 +95,7 @@
 
   /** Whether a row that the copy lacks counts. */
   const admitMissing = (row: StoredRow): boolean => {
-    const verdict = rules.judgeMissing(row);
+    const verdict = rules.resolveMissing(row);
     const { key } = row;
     switch (verdict.kind) {
       case "drop":
@@ -111,7 +111,7 @@
   };
   /** Whether a row that was dropped counts again. */
   const admitDropped = (row: StoredRow): boolean => {
-    const verdict = rules.judgeDropped(row);
+    const verdict = rules.resolveDropped(row);
     switch (verdict.kind) {
       case "take":
         return true;
@@ -216,7 +216,7 @@
   return {
     observe,
     listUnsettled: () => ({
-      era: last?.revision.era ?? UNTOLD_ERA,
+      era: last?.revision.era ?? UNKNOWN_ERA,
       kept: [...known.values()].filter(isOfOtherEra),
       withheld: [...withheld.values()],
     }),
--- a/packages/storefeed/src/restoreTypes.ts
+++ b/packages/storefeed/src/restoreTypes.ts
@@ -20,8 +20,8 @@
 export type RestoreRules = Readonly<{
   /** Whether the copy holds an earlier state of a row than is known. */
   isUndone: (known: StoredRow, copied: StoredRow) => boolean;
-  judgeMissing: (known: StoredRow) => MissingVerdict;
-  judgeDropped: (copied: StoredRow) => DroppedVerdict;
+  resolveMissing: (known: StoredRow) => MissingVerdict;
+  resolveDropped: (copied: StoredRow) => DroppedVerdict;
 }>;
 
 /** How what was known differs from the copy. */
--- a/packages/storefeed/src/revision.ts
+++ b/packages/storefeed/src/revision.ts
@@ -9,10 +9,10 @@
 }>;
 
 /** Era of a store, or of another box, that tells none. */
-export const UNTOLD_ERA = 0;
+export const UNKNOWN_ERA = 0;
 
 /** Before everything that the store has said. */
-export const BEFORE_ALL: StoreRevision = { era: UNTOLD_ERA, version: 0 };
+export const INITIAL_REVISION: StoreRevision = { era: UNKNOWN_ERA, version: 0 };
 
 /** Makes a revision. */
 export const makeRevision = (era: number, version: number): StoreRevision => ({
--- a/packages/storefeed/src/tableFollower.ts
+++ b/packages/storefeed/src/tableFollower.ts
@@ -1,13 +1,13 @@
 /** Follows one table of the store: reads it whole, then waits for its changes, again after each failure. */
 import { waitFor, type Clock, type Ms, type Random } from "@stairgauge/common";
 import {
-  BEFORE_ALL,
+  INITIAL_REVISION,
   isEarlierRevision,
   makeRevision,
   pickLaterRevision,
   type StoreRevision,
 } from "./revision.js";
-import type { RevisionMark } from "./revisionMark.js";
+import type { RevisionWatermark } from "./revisionWatermark.js";
 import type {
   AnswerSource,
   RowChange,
@@ -50,7 +50,7 @@
   /** First pause after a failure; it doubles up to the second. */
   retryPause: Readonly<{ first: Ms; most: Ms }>;
   /** Shared by all followers of the store. */
-  revisions: RevisionMark;
+  revisions: RevisionWatermark;
   sink: FollowerSink;
   onStaleRead: (read: StaleRead) => void;
 }>;
@@ -78,7 +78,7 @@
   let failures = 0;
   let staleReads = 0;
   let hasRead = false;
-  let tableRevision = BEFORE_ALL;
+  let tableRevision = INITIAL_REVISION;
   let pause: number = retryPause.first;
   let abort = new AbortController();
 
@@ -125,7 +125,7 @@
   const getLeastUseful = (): StoreRevision =>
     hasRead
       ? pickLaterRevision(tableRevision, makeRevision(revisions.get().era, 0))
-      : BEFORE_ALL;
+      : INITIAL_REVISION;
 
   /** Whether a whole read is to be made again instead. */
   const isPassedOver = (read: TableSnapshot, newestBefore: StoreRevision): boolean => {
--- a/packages/storefeed/src/tableMirror.ts
+++ b/packages/storefeed/src/tableMirror.ts
@@ -1,10 +1,10 @@
 /** What a box knows of one table, kept so that it can be handed on to other boxes with its age. */
 import { Err, Ok, type Clock, type Ms, type Result } from "@stairgauge/common";
 import {
-  BEFORE_ALL,
+  INITIAL_REVISION,
   isEarlierRevision,
   pickLaterRevision,
-  UNTOLD_ERA,
+  UNKNOWN_ERA,
   type StoreRevision,
 } from "./revision.js";
 import type { FollowerSink } from "./tableFollower.js";
@@ -43,7 +43,7 @@
 }>;
 
 /** Changes kept; a box that is further behind reads the table whole. */
-const MOST_CHANGES = 200;
+const MAX_CHANGES = 200;
 
 type KeptChange = Readonly<{ change: RowChange; revision: StoreRevision }>;
 
@@ -56,7 +56,7 @@
   let changes: KeptChange[] = [];
   let revision: StoreRevision | undefined;
   /** Changes since this revision are all kept. */
-  let keptSince = BEFORE_ALL;
+  let keptSince = INITIAL_REVISION;
   let confirmedAt = -Infinity;
   const waiting = new Set<() => void>();
 
@@ -86,7 +86,7 @@
     changes.push({ change, revision: at });
   };
   const dropOldest = () => {
-    while (changes.length > MOST_CHANGES) keptSince = changes.shift()!.revision;
+    while (changes.length > MAX_CHANGES) keptSince = changes.shift()!.revision;
   };
   const takeChanges = (news: readonly RowChange[], asOf: Ms, at: StoreRevision) => {
     for (const change of news) takeChange(change, at);
@@ -106,7 +106,7 @@
   ): Result<Relayed<TableChanges>, MirrorFailure> => {
     if (revision === undefined) return Err({ kind: "not_known" });
     // A box of an earlier release tells no era; it can only mean the one that it was told last.
-    const since = asked.era === UNTOLD_ERA ? { ...asked, era: revision.era } : asked;
+    const since = asked.era === UNKNOWN_ERA ? { ...asked, era: revision.era } : asked;
     if (isEarlierRevision(since, keptSince)) return Err({ kind: "history_gone" });
     return Ok({
       changes: listSince(since),
--- a/packages/telemetry/src/decisionLog.ts
+++ b/packages/telemetry/src/decisionLog.ts
@@ -24,7 +24,7 @@
 }>;
 
 /** Bytes that may wait for a reader of the log; beyond them lines are lost and counted. */
-const MOST_BUFFERED_BYTES = 512 * 1024;
+const MAX_BUFFERED_BYTES = 512 * 1024;
 const SECOND_MS = 1000;
 /**
  * Lines are written together, at most this long after they came: what a killed box had not written is lost, and with it
@@ -40,7 +40,7 @@
     dest: 1,
     sync: false,
     minLength: WRITE_TOGETHER_BYTES,
-    maxLength: MOST_BUFFERED_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   let lost = 0;
   destination.on("drop", () => {
