--- a/apps/box/src/askHubs.ts
+++ b/apps/box/src/askHubs.ts
@@ -2,7 +2,7 @@
 import type { BoxName, Clock, Ms } from "@stairgauge/common";
 import type { BackendServer, ServerDirectory, ServerId } from "@stairgauge/directory";
 import type { GivenAdvice, MoveFacts, MovePlanner } from "@stairgauge/fleet";
-import type { Advice, AdviceRequest, PlaceAdviser } from "@stairgauge/forwarding";
+import type { Advice, AdviceRequest, PlacementAdvisor } from "@stairgauge/forwarding";
 import {
   createHubAsker,
   type MovesAnswer,
@@ -27,7 +27,7 @@
 
 /** What the hubs tell. */
 export type Hubs = Readonly<{
-  adviser: PlaceAdviser;
+  adviser: PlacementAdvisor;
   askForFacts: (
     server: BackendServer,
     isFresh: boolean,
--- a/apps/box/src/createBox.ts
+++ b/apps/box/src/createBox.ts
@@ -20,7 +20,7 @@
   createClientServer,
   createForwarder,
   createRetryBudget,
-  createWaitingRoom,
+  createWaitQueue,
 } from "@stairgauge/forwarding";
 import {
   createBoxRestoreRules,
@@ -31,12 +31,12 @@
 import {
   computeConnectionShare,
   createFleetPlaces,
-  createLoadBook,
-  createRivalRate,
+  createLoadRegistry,
+  createCompetingRate,
   ENGINE_WAYS,
 } from "@stairgauge/placement";
 import { BOX_TABLE, createHeadCodec, createStoreWriter } from "@stairgauge/platform";
-import { createConfigurationKeeper } from "@stairgauge/routing";
+import { createConfigurationHolder } from "@stairgauge/routing";
 import type { BoxSettings } from "@stairgauge/settings";
 import { createBoxMetrics, type DecisionLog } from "@stairgauge/telemetry";
 import { answerMoves, createHubs, toPlaceAnswer } from "./askHubs.js";
@@ -103,7 +103,7 @@
   let mostBoxesSeen = 0;
   const random = createSystemRandom();
   const metrics = createBoxMetrics();
-  const keeper = createConfigurationKeeper({
+  const keeper = createConfigurationHolder({
     denyWithin: settings.bounds.configurationMs as Ms,
     acceptWithin: computeAcceptWithin(settings.bounds),
   });
@@ -121,8 +121,8 @@
     keeper.getIndex()?.findService(service)?.engine !== undefined;
   const isPlacedByHubs = (service: ServiceName) =>
     hasHubs(links.countBoxes()) && isEngineService(service);
-  const book = createLoadBook((change) => teller.takeChange(change));
-  const rivals = createRivalRate();
+  const book = createLoadRegistry((change) => teller.takeChange(change));
+  const rivals = createCompetingRate();
   const updates = createUpdateTaker({
     clock,
     book,
@@ -200,7 +200,7 @@
     listResting: rests.listResting,
     onPassedOver: (hub) => log.writeDecision("hub_passed_over", { peer: hub }),
   });
-  const waitingRoom = createWaitingRoom(clock);
+  const waitingRoom = createWaitQueue(clock);
   let peerAddress = toHostAndPort(settings.listen.peers);
   const membership = createMembership({
     clock,
@@ -310,7 +310,7 @@
     adviser: hubs.adviser,
     runKeeper: mover,
     guard: crashes.guard,
-    takeSigns: signs.take,
+    dispatchSignals: signs.take,
     observer: observeForwarding({ log, metrics, configuration }),
     retryAfter: settings.clients.retryAfterMs as Ms,
     connectLimit: settings.clients.connectLimitMs as Ms,
@@ -351,7 +351,7 @@
   });
 
   const isReady = () => {
-    const standing = configuration.getServerStatus();
+    const standing = configuration.getFreshness();
     return stopped === undefined && (standing === "current" || standing === "ageing");
   };
   const readyServer = createReadyServer(isReady);
--- a/apps/box/src/createColdServers.ts
+++ b/apps/box/src/createColdServers.ts
@@ -3,12 +3,12 @@
 import type { ServerDirectory } from "@stairgauge/directory";
 import {
   createColdLimits,
-  createColdSpells,
+  createColdPeriods,
   type ColdLimits,
-  type ColdSpells,
+  type ColdPeriods,
 } from "@stairgauge/fleet";
 import type { FleetPlaces } from "@stairgauge/placement";
-import type { ConfigurationKeeper } from "@stairgauge/routing";
+import type { ConfigurationHolder } from "@stairgauge/routing";
 import type { BoxSettings } from "@stairgauge/settings";
 import { PLACE_LIMIT_MS } from "./askHubs.js";
 
@@ -16,14 +16,14 @@
 export type ColdServersOptions = Readonly<{
   settings: Pick<BoxSettings, "bounds" | "clients">;
   clock: Clock;
-  keeper: ConfigurationKeeper;
+  keeper: ConfigurationHolder;
   getDirectory: () => Pick<ServerDirectory, "list">;
   places: Pick<FleetPlaces, "computePart">;
   isPlacedByHubs: (service: ServiceName) => boolean;
 }>;
 
 /** The servers that may be cold, and this box's limits at them. */
-export type ColdServers = Readonly<{ spells: ColdSpells; limits: ColdLimits }>;
+export type ColdServers = Readonly<{ spells: ColdPeriods; limits: ColdLimits }>;
 
 /** Creates both; they know of no server yet. */
 export const createColdServers = (options: ColdServersOptions): ColdServers => {
@@ -33,7 +33,7 @@
     coldOverage === undefined
       ? undefined
       : keeper.getIndex()?.findService(service)?.warmUp;
-  const spells = createColdSpells({
+  const spells = createColdPeriods({
     clock,
     findWarmUp,
     listServers: () => getDirectory().list(),
--- a/apps/box/src/createDirectory.ts
+++ b/apps/box/src/createDirectory.ts
@@ -10,9 +10,9 @@
 import type { ReportPoller } from "@stairgauge/fleet";
 import type { ServerLimits } from "@stairgauge/limits";
 import type { RunMover } from "@stairgauge/migration";
-import { makeNotice, type PeerServer, type RunTeller } from "@stairgauge/peers";
-import type { LoadBook } from "@stairgauge/placement";
-import type { ServerRests } from "@stairgauge/backoffs";
+import { makeNotice, type PeerServer, type RunReporter } from "@stairgauge/peers";
+import type { LoadRegistry } from "@stairgauge/placement";
+import type { ServerBackoffs } from "@stairgauge/backoffs";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 import type { ColdServers } from "./createColdServers.js";
 import type { Peers } from "./createPeers.js";
@@ -23,13 +23,13 @@
 export type DirectoryParts = Readonly<{
   log: DecisionLog;
   metrics: BoxMetrics;
-  book: LoadBook;
+  book: LoadRegistry;
   cold: ColdServers;
   limits: Pick<ServerLimits, "forget">;
-  rests: Pick<ServerRests, "forget">;
+  rests: Pick<ServerBackoffs, "forget">;
   peers: Pick<Peers, "passOn"> &
     Readonly<{
-      teller: Pick<RunTeller, "reportLeaving" | "reportAnnouncedLeaving">;
+      teller: Pick<RunReporter, "reportLeaving" | "reportAnnouncedLeaving">;
       peerServer: Pick<PeerServer, "notify">;
     }>;
   isPlacedByHubs: (service: ServiceName) => boolean;
--- a/apps/box/src/createKnowledge.ts
+++ b/apps/box/src/createKnowledge.ts
@@ -13,7 +13,7 @@
 import type { BoxSettings } from "@stairgauge/settings";
 import {
   createRestoreGuard,
-  createRevisionMark,
+  createRevisionWatermark,
   createTableFollower,
   createTableMirror,
   type FollowerOptions,
@@ -159,7 +159,7 @@
     onDistrust: (box, reason) =>
       log.writeDecision("box_not_asked", { peer: box, reason }),
   });
-  const revisions = createRevisionMark();
+  const revisions = createRevisionWatermark();
   const guards = new Map<string, RestoreGuard>();
   const observer = observeEras({ log, metrics }, clock);
   revisions.watchEra(observer.onEraChange);
--- a/apps/box/src/createMoves.ts
+++ b/apps/box/src/createMoves.ts
@@ -17,7 +17,7 @@
   type RunMover,
   type StandbyKeeper,
 } from "@stairgauge/migration";
-import type { LoadBook } from "@stairgauge/placement";
+import type { LoadRegistry } from "@stairgauge/placement";
 import type { EngineTraits } from "@stairgauge/routing";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 import { observeMoves } from "./observers.js";
@@ -29,7 +29,7 @@
   metrics: BoxMetrics;
   actions: EngineActions;
   directory: ServerDirectory;
-  book: LoadBook;
+  book: LoadRegistry;
   reports: Pick<ReportPoller, "ask">;
   placer: FleetPlacer;
   runs: ActiveRuns;
--- a/apps/box/src/createPeers.ts
+++ b/apps/box/src/createPeers.ts
@@ -5,7 +5,7 @@
 import {
   createPeerLinks,
   createPeerServer,
-  createRunTeller,
+  createRunReporter,
   hasHubs,
   hasUnsettled,
   makeNotice,
@@ -14,10 +14,10 @@
   type PeerLinks,
   type PeerServer,
   type PeerServerOptions,
-  type RunTeller,
+  type RunReporter,
   type SharedUnsettledRows,
 } from "@stairgauge/peers";
-import type { LoadBook } from "@stairgauge/placement";
+import type { LoadRegistry } from "@stairgauge/placement";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 import type { Crashes } from "./createCrashes.js";
 import type { Knowledge } from "./createKnowledge.js";
@@ -31,7 +31,7 @@
   log: DecisionLog;
   metrics: BoxMetrics;
   member: Member;
-  book: LoadBook;
+  book: LoadRegistry;
   updates: Pick<UpdateTaker, "takeUpdate" | "takeLeaving">;
   getDirectory: () => Pick<ServerDirectory, "list">;
   getCrashes: () => Pick<Crashes, "guard">;
@@ -42,7 +42,7 @@
 
 /** The parts that the rest of a box calls. */
 export type Peers = Readonly<{
-  teller: RunTeller;
+  teller: RunReporter;
   links: PeerLinks;
   peerServer: PeerServer;
   /** Whether this box hands on what it hears: where boxes are linked to hubs only, a hub does. */
@@ -76,7 +76,7 @@
     for (const one of [...greetedAt.keys()]) if (!isNewBox(one)) greetedAt.delete(one);
     greetedAt.set(box, clock.monotonic());
   };
-  const teller = createRunTeller({
+  const teller = createRunReporter({
     clock,
     own: member.box,
     book,
--- a/apps/box/src/createReports.ts
+++ b/apps/box/src/createReports.ts
@@ -7,8 +7,8 @@
   type ReportPollerOptions,
 } from "@stairgauge/fleet";
 import type { EngineActions } from "@stairgauge/migration";
-import type { RunTeller } from "@stairgauge/peers";
-import type { LoadBook } from "@stairgauge/placement";
+import type { RunReporter } from "@stairgauge/peers";
+import type { LoadRegistry } from "@stairgauge/placement";
 import type { BoxSettings } from "@stairgauge/settings";
 import type { UpdateTaker } from "./takeUpdates.js";
 
@@ -18,14 +18,14 @@
   clock: Clock;
   random: Random;
   directory: ServerDirectory;
-  book: LoadBook;
+  book: LoadRegistry;
   actions: EngineActions;
   /** The store does not reach this box. */
   isOutOfTouch: () => boolean;
   isEngineService: (service: ServiceName) => boolean;
   shares: ReportPollerOptions["shares"];
   updates: Pick<UpdateTaker, "markReported">;
-  teller: Pick<RunTeller, "takeReport">;
+  teller: Pick<RunReporter, "takeReport">;
 }>;
 
 /**
--- a/apps/box/src/createSignals.test.ts
+++ b/apps/box/src/createSignals.test.ts
@@ -14,7 +14,7 @@
   type ServerId,
   type ServerName,
 } from "@stairgauge/directory";
-import { NO_SIGNS, type SignalSource } from "@stairgauge/signals";
+import { NO_SIGNALS, type SignalSource } from "@stairgauge/signals";
 import { createBoxMetrics } from "@stairgauge/telemetry";
 import { createSignals } from "./createSignals.js";
 import { createLineLog } from "./lineLog.testkit.js";
@@ -65,7 +65,7 @@
     const { signals, directory, server, lines } = setUp();
     const heard = {
       server,
-      signals: { ...NO_SIGNS, leaving: { kind: "leaving" } as const },
+      signals: { ...NO_SIGNALS, leaving: { kind: "leaving" } as const },
     };
     signals.take({ ...heard, source: SOURCE });
     signals.take({ ...heard, source: { kind: "health" } });
@@ -79,7 +79,7 @@
     const { signals, directory, server, lines } = setUp();
     for (const text of ["0", "0", "true"]) {
       const leaving = { kind: "unreadable", text } as const;
-      signals.take({ server, signals: { ...NO_SIGNS, leaving }, source: SOURCE });
+      signals.take({ server, signals: { ...NO_SIGNALS, leaving }, source: SOURCE });
     }
     expect(directory.find(ENTRY.id)?.leaving).toBeUndefined();
     expect(lines).toEqual(
@@ -96,15 +96,19 @@
     const { clock, signals, server, lines } = setUp();
     const { id } = ENTRY;
     const asked = { kind: "asked", duration: 3_000 as Ms } as const;
-    signals.take({ server, signals: { ...NO_SIGNS, rest: asked }, source: SOURCE });
+    signals.take({ server, signals: { ...NO_SIGNALS, rest: asked }, source: SOURCE });
     expect(signals.rests.mayTake(id, 0)).toBe(false);
     clock.advance(4_000 as Ms);
-    signals.take({ server, signals: NO_SIGNS, source: { kind: "health" } });
+    signals.take({ server, signals: NO_SIGNALS, source: { kind: "health" } });
     expect(signals.rests.mayTake(id, 1)).toBe(false);
-    signals.take({ server, signals: NO_SIGNS, source: SOURCE });
+    signals.take({ server, signals: NO_SIGNALS, source: SOURCE });
     expect(signals.rests.mayTake(id, 1)).toBe(true);
     const unreadable = { kind: "unreadable", text: "soon" } as const;
-    signals.take({ server, signals: { ...NO_SIGNS, rest: unreadable }, source: SOURCE });
+    signals.take({
+      server,
+      signals: { ...NO_SIGNALS, rest: unreadable },
+      source: SOURCE,
+    });
     expect(lines).toMatchObject([
       { event: "server_rest_asked", server: id, duration: 3_000 },
       { event: "server_rest_over", server: id },
--- a/apps/box/src/createSignals.ts
+++ b/apps/box/src/createSignals.ts
@@ -1,24 +1,24 @@
 /** Wires what backend servers say of themselves to the parts that act on it. */
 import { assertNever, type Clock, type Random } from "@stairgauge/common";
 import {
-  getLeavingBasis,
+  getLeavingEvidence,
   type BackendServer,
   type ServerAddress,
   type ServerDirectory,
 } from "@stairgauge/directory";
-import type { ColdSpells } from "@stairgauge/fleet";
+import type { ColdPeriods } from "@stairgauge/fleet";
 import type { ServerLimits } from "@stairgauge/limits";
 import type { EngineActions } from "@stairgauge/migration";
 import { createEngineActions } from "@stairgauge/platform";
 import {
-  createServerRests,
+  createServerBackoffs,
   type BackoffSignal,
-  type ServerRests,
+  type ServerBackoffs,
 } from "@stairgauge/backoffs";
 import {
-  takeSigns,
+  dispatchSignals,
   type ReceivedSignal,
-  type HeardSigns,
+  type ReceivedSignals,
   type LeavingSignal,
   type ServerSignals,
   type SignalHandlers,
@@ -35,7 +35,7 @@
   metrics: BoxMetrics;
   getDirectory: () => Pick<ServerDirectory, "find" | "list" | "mark">;
   limits: Pick<ServerLimits, "applySignal">;
-  spells: Pick<ColdSpells, "onEntry">;
+  spells: Pick<ColdPeriods, "onEntry">;
   /** A server that stays has announced the end of a connection, which one that leaves does. */
   onClosingAnnounced: (server: BackendServer) => void;
 }>;
@@ -43,17 +43,17 @@
 /** The parts that the rest of a box calls. */
 export type Signals = Readonly<{
   /** Takes the signs of an answer to a request or a health call. */
-  take: (heard: HeardSigns) => void;
+  take: (heard: ReceivedSignals) => void;
   /** Calls on engines, whose answers carry signs, too; a server that leaves has no say there any more. */
   actions: EngineActions;
-  rests: ServerRests;
+  rests: ServerBackoffs;
 }>;
 
 /** Creates the parts; no server has said anything. */
 export const createSignals = (options: SignalsOptions): Signals => {
   const { clock, log, metrics, getDirectory, limits, spells, onClosingAnnounced } =
     options;
-  const rests: ServerRests = createServerRests({
+  const rests: ServerBackoffs = createServerBackoffs({
     clock,
     random: options.random,
     onEvent: observeRests({ log, metrics, listResting: () => rests.listResting() }),
@@ -71,7 +71,7 @@
   const markLeaving = ({ server, source }: ReceivedSignal<LeavingSignal>) => {
     const { id } = server.entry;
     const known = getDirectory().find(id)?.leaving?.reason;
-    if (known !== undefined && getLeavingBasis(known) === "own_word") return;
+    if (known !== undefined && getLeavingEvidence(known) === "own_word") return;
     log.writeNotice("server_says_leaving", { server: id, source });
     getDirectory().mark(id, "answer_says_leaving", clock.monotonic());
   };
@@ -122,7 +122,7 @@
     leaving: takeLeaving,
     rest: takeRest,
   };
-  const take = (heard: HeardSigns) => takeSigns(takers, heard);
+  const take = (heard: ReceivedSignals) => dispatchSignals(takers, heard);
   const listStaying = ({ host, port }: ServerAddress) =>
     getDirectory()
       .list()
--- a/apps/box/src/createSinks.ts
+++ b/apps/box/src/createSinks.ts
@@ -8,7 +8,7 @@
   createServerRestoreRules,
   createServerSink,
   withRowSink,
-  type ColdSpells,
+  type ColdPeriods,
   type HallEvent,
 } from "@stairgauge/fleet";
 import {
@@ -17,7 +17,7 @@
   decodeConfiguration,
   decodeServerEntry,
 } from "@stairgauge/platform";
-import type { ClientLimits, ConfigurationKeeper } from "@stairgauge/routing";
+import type { ClientLimits, ConfigurationHolder } from "@stairgauge/routing";
 import type { BoxMetrics, DecisionLog } from "@stairgauge/telemetry";
 import type { KnowledgeTables } from "./createKnowledge.js";
 import { observeConfiguration } from "./observers.js";
@@ -28,8 +28,8 @@
   log: DecisionLog;
   metrics: BoxMetrics;
   directory: ServerDirectory;
-  keeper: ConfigurationKeeper;
-  spells: Pick<ColdSpells, "onHallOpened" | "onListRead">;
+  keeper: ConfigurationHolder;
+  spells: Pick<ColdPeriods, "onHallOpened" | "onListRead">;
   /** A server that left gets no new work later than this after the box heard of it. */
   leavingWithin: Ms;
   /** A configuration with other bounds on clients is in force. */
--- a/apps/box/src/restingServers.test.ts
+++ b/apps/box/src/restingServers.test.ts
@@ -8,7 +8,7 @@
  *   {"box":"edge-brest-1","server":"i-a11b","afterMs":3,"status":503,"event":"answered"}
  */
 import { describe, expect, it } from "vitest";
-import { countMostInRest, MOST_IN_REST, type SayingChoice } from "@stairgauge/standins";
+import { countMostInRest, MAX_IN_REST, type SayingChoice } from "@stairgauge/standins";
 import { FULL_MACHINE_MS } from "./box.testkit.js";
 import {
   collectAnswers,
@@ -72,7 +72,7 @@
       for (const server of resting) {
         const arrivals = listCounted(servers.listArrivals(server));
         expect(arrivals.length).toBeGreaterThan(0);
-        expect(countMostInRest(arrivals, seconds)).toBeLessThanOrEqual(MOST_IN_REST);
+        expect(countMostInRest(arrivals, seconds)).toBeLessThanOrEqual(MAX_IN_REST);
       }
       await collectAnswers(sent);
       expect(listTurnedAway(fleet).length).toBeLessThan(sent.length * MAX_TURNED_AWAY);
@@ -86,7 +86,7 @@
     const sent = await sendFor(SENT_MS);
     for (const server of ALL) {
       const arrivals = listCounted(servers.listArrivals(server));
-      expect(countMostInRest(arrivals, 3)).toBeLessThanOrEqual(MOST_IN_REST);
+      expect(countMostInRest(arrivals, 3)).toBeLessThanOrEqual(MAX_IN_REST);
     }
     const reached = ALL.flatMap((server) => servers.listArrivals(server));
     const ids = new Set(reached.map(({ request }) => request));
--- a/apps/box/src/takeUpdates.ts
+++ b/apps/box/src/takeUpdates.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "@stairgauge/common";
 import type { RequestGuard } from "@stairgauge/crashes";
 import {
-  getLeavingBasis,
+  getLeavingEvidence,
   type BackendServer,
   type LeavingReason,
   type ServerDirectory,
@@ -11,13 +11,18 @@
 import type { FleetPlacer } from "@stairgauge/fleet";
 import type { ServerLimits } from "@stairgauge/limits";
 import { applyUpdate, type RunUpdate, type SharedLeaving } from "@stairgauge/peers";
-import type { EngineReport, LoadBook, PlacedAt, RivalRate } from "@stairgauge/placement";
+import type {
+  EngineReport,
+  LoadRegistry,
+  PlacedAt,
+  CompetingRate,
+} from "@stairgauge/placement";
 
 /** Where it goes. */
 export type UpdateTakerOptions = Readonly<{
   clock: Clock;
-  book: LoadBook;
-  rivals: RivalRate;
+  book: LoadRegistry;
+  rivals: CompetingRate;
   getDirectory: () => ServerDirectory;
   getPlacer: () => Pick<FleetPlacer, "takeBroken" | "takeAnswered">;
   getGuard: () => Pick<RequestGuard, "applyUpdate">;
@@ -38,7 +43,7 @@
 export const toToldLeaving = (
   { entry }: BackendServer,
   reason: LeavingReason,
-): SharedLeaving => ({ server: entry.id, basis: getLeavingBasis(reason) });
+): SharedLeaving => ({ server: entry.id, basis: getLeavingEvidence(reason) });
 
 /** Lists all servers that leave. */
 export const listToldLeaving = (
--- a/packages/backoffs/src/serverBackoffs.test.ts
+++ b/packages/backoffs/src/serverBackoffs.test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import { createSeededRandom, createVirtualClock, type Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { createServerRests, type BackoffEvent } from "./index.js";
+import { createServerBackoffs, type BackoffEvent } from "./index.js";
 
 const SERVER = "page-0@1" as ServerId;
 const OTHER = "page-1@1" as ServerId;
@@ -11,7 +11,7 @@
 const setUp = (random = createSeededRandom(44)) => {
   const clock = createVirtualClock();
   const events: BackoffEvent[] = [];
-  const rests = createServerRests({
+  const rests = createServerBackoffs({
     clock,
     random,
     onEvent: (event) => events.push(event),
--- a/packages/fleet/src/adviseOthers.test.ts
+++ b/packages/fleet/src/adviseOthers.test.ts
@@ -7,7 +7,7 @@
   type RegionName,
 } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { createWaitingRoom, type AdviceRequest } from "@stairgauge/forwarding";
+import { createWaitQueue, type AdviceRequest } from "@stairgauge/forwarding";
 import type { PlaceQuestion } from "@stairgauge/placement";
 import type { WarmUp } from "@stairgauge/routing";
 import { createPlaceHub } from "./index.js";
@@ -39,7 +39,7 @@
 /** A hub before some engines of 34,000 tokens. */
 const setUp = (engines: number, warmUp?: WarmUp) => {
   const { clock, book, placer } = createTestPlacer(engines, warmUp);
-  const waitingRoom = createWaitingRoom(clock);
+  const waitingRoom = createWaitQueue(clock);
   const hub = createPlaceHub({ clock, book, placer, waitingRoom });
   const { signal } = new AbortController();
   const ask = (asked: PlaceQuestion, by = signal) => hub.answer(asked, by);
--- a/packages/fleet/src/adviseOthers.ts
+++ b/packages/fleet/src/adviseOthers.ts
@@ -1,10 +1,10 @@
 /** Advice of a hub to other boxes: where a run goes, by what all have placed, and when, while every engine is full. */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
-import { hasRoomFor, placeWithRoom, type WaitingRoom } from "@stairgauge/forwarding";
+import { hasRoomFor, placeWithRoom, type WaitQueue } from "@stairgauge/forwarding";
 import type {
   Demand,
-  LoadBook,
+  LoadRegistry,
   PlacementDecision,
   PlaceQuestion,
 } from "@stairgauge/placement";
@@ -17,9 +17,9 @@
 /** What advising needs. */
 export type PlaceHubOptions = Readonly<{
   clock: Clock;
-  book: LoadBook;
+  book: LoadRegistry;
   placer: Pick<FleetPlacer, "chooseForOther" | "recordArrival" | "recordSend">;
-  waitingRoom: WaitingRoom;
+  waitingRoom: WaitQueue;
 }>;
 
 /** Advises. */
--- a/packages/fleet/src/coldPeriods.test.ts
+++ b/packages/fleet/src/coldPeriods.test.ts
@@ -48,7 +48,7 @@
   };
 };
 
-describe("createColdSpells", () => {
+describe("createColdPeriods", () => {
   it("takes the first list as it is: those servers have run for long, unless they say otherwise", () => {
     const { spells, join, isCold, advance } = setUp();
     join(makeServer("warm"));
--- a/packages/fleet/src/createPlacer.ts
+++ b/packages/fleet/src/createPlacer.ts
@@ -9,19 +9,19 @@
 import type { BackendServer, ServerDirectory, ServerId } from "@stairgauge/directory";
 import type { ActiveRun, Placer } from "@stairgauge/forwarding";
 import type { ServerLimits } from "@stairgauge/limits";
-import type { ServerRests } from "@stairgauge/backoffs";
+import type { ServerBackoffs } from "@stairgauge/backoffs";
 import {
   chooseServer,
   estimateEngineLoad,
   type Demand,
   type EngineWay,
   toCopyId,
-  type LoadBook,
+  type LoadRegistry,
   type MoveTarget,
   type NoServerReason,
   type PlacementDecision,
   type PlacementLimit,
-  type RivalRate,
+  type CompetingRate,
 } from "@stairgauge/placement";
 import type { ColdLimits } from "./coldLimits.js";
 import type { ColdPeriods } from "./coldPeriods.js";
@@ -36,7 +36,7 @@
 
 /** What placing asks of the rests that servers want of this box. */
 export type PlacingRests = Pick<
-  ServerRests,
+  ServerBackoffs,
   "computeRetryAfter" | "isResting" | "mayTake" | "takeSpared"
 >;
 
@@ -49,10 +49,10 @@
   way: EngineWay;
   findRegion: (hall: DataHallName) => RegionName | undefined;
   directory: ServerDirectory;
-  book: LoadBook;
+  book: LoadRegistry;
   /** This box's part of the connections that one server of a service takes from all callers. */
   getConnectionShare: (service: ServiceName) => number;
-  rivals: Pick<RivalRate, "estimate">;
+  rivals: Pick<CompetingRate, "estimate">;
   cold: Pick<ColdLimits, "mayTake" | "record">;
   spells: Pick<ColdPeriods, "mayBeCold" | "onUnreachable">;
   limits: PlacingLimits;
@@ -258,7 +258,7 @@
       !rests.isResting(entry.id),
     isInRegions,
     isHallClosed: ({ entry }) => directory.isHallClosed(entry.dataHall),
-    getStanding: ({ entry }) =>
+    getServerStatus: ({ entry }) =>
       getServerStatus({ directory, book }, entry.id, clock.monotonic()),
     isAlive: async (server) => {
       const answers = await options.isAlive(server);
--- a/packages/fleet/src/followConfiguration.ts
+++ b/packages/fleet/src/followConfiguration.ts
@@ -1,6 +1,6 @@
 /** Keeps the configuration in force by following the operators' table. */
 import type { Ms, Result } from "@stairgauge/common";
-import type { ConfigurationKeeper, FleetConfiguration } from "@stairgauge/routing";
+import type { ConfigurationHolder, FleetConfiguration } from "@stairgauge/routing";
 import type {
   FollowerSink,
   RowChange,
@@ -21,7 +21,7 @@
 export type ConfigurationSinkOptions = Readonly<{
   /** Key of the row that holds the newest configuration. */
   key: string;
-  keeper: ConfigurationKeeper;
+  keeper: ConfigurationHolder;
   decode: (value: Buffer) => Result<FleetConfiguration, unknown>;
   onEvent: (event: ConfigurationEvent) => void;
 }>;
--- a/packages/fleet/src/getServerStatus.test.ts
+++ b/packages/fleet/src/getServerStatus.test.ts
@@ -6,7 +6,7 @@
   type ServerId,
   type ServerName,
 } from "@stairgauge/directory";
-import { createLoadBook } from "@stairgauge/placement";
+import { createLoadRegistry } from "@stairgauge/placement";
 import { getServerStatus } from "./getServerStatus.js";
 
 const SERVER = "a" as ServerId;
@@ -16,7 +16,7 @@
     memory: 1_000 as Ms,
     onEvent: () => undefined,
   });
-  const book = createLoadBook();
+  const book = createLoadRegistry();
   const entry = {
     id: SERVER,
     name: "server" as ServerName,
--- a/packages/fleet/src/getServerStatus.ts
+++ b/packages/fleet/src/getServerStatus.ts
@@ -1,13 +1,13 @@
 /** What a box knows of a server now, and how old that knowledge is. Pure. */
 import type { Ms } from "@stairgauge/common";
 import type { LeavingReason, ServerDirectory, ServerId } from "@stairgauge/directory";
-import type { ServerStanding } from "@stairgauge/forwarding";
-import type { LoadBook } from "@stairgauge/placement";
+import type { ServerStatus } from "@stairgauge/forwarding";
+import type { LoadRegistry } from "@stairgauge/placement";
 
 /** Where the knowledge is kept. */
 export type ServerStatusSources = Readonly<{
   directory: Pick<ServerDirectory, "find">;
-  book: Pick<LoadBook, "findReport">;
+  book: Pick<LoadRegistry, "findReport">;
 }>;
 
 /** Reasons that say that nothing listens under the server's identity any more. */
@@ -22,7 +22,7 @@
   { directory, book }: ServerStatusSources,
   server: ServerId,
   now: Ms,
-): ServerStanding => {
+): ServerStatus => {
   const known = directory.find(server);
   // A server that the directory has forgotten left long ago.
   if (!known) return { kind: "gone", age: undefined };
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -8,8 +8,8 @@
 export type { ServerListEvent } from "./followServers.js";
 export { createColdLimits } from "./coldLimits.js";
 export type { ColdBound, ColdLimits } from "./coldLimits.js";
-export { createColdPeriods as createColdSpells } from "./coldPeriods.js";
-export type { ColdPeriods as ColdSpells } from "./coldPeriods.js";
+export { createColdPeriods } from "./coldPeriods.js";
+export type { ColdPeriods } from "./coldPeriods.js";
 export { createPlacer } from "./createPlacer.js";
 export type { FleetPlacer, PlacerOptions } from "./createPlacer.js";
 export { createExposureJudge } from "./judgeExposure.js";
--- a/packages/fleet/src/judgeExposure.test.ts
+++ b/packages/fleet/src/judgeExposure.test.ts
@@ -8,9 +8,9 @@
 } from "@stairgauge/directory";
 import type { ActiveRun, ClientRequestId } from "@stairgauge/forwarding";
 import {
-  createLoadBook,
+  createLoadRegistry,
   toCopyId,
-  type LoadBook,
+  type LoadRegistry,
   type MoveTarget,
 } from "@stairgauge/placement";
 import type { EngineTraits } from "@stairgauge/routing";
@@ -38,7 +38,7 @@
 
 describe("createExposureJudge", () => {
   let directory: ServerDirectory;
-  let book: LoadBook;
+  let book: LoadRegistry;
   let targets: MoveTarget[];
   let traits: EngineTraits | undefined;
 
@@ -82,7 +82,7 @@
         },
         0 as Ms,
       );
-    book = createLoadBook();
+    book = createLoadRegistry();
     traits = TRAITS;
     targets = [
       { server: OTHER, takenTokens: 10_000, totalTokens: 34_000, isNear: false },
--- a/packages/fleet/src/judgeExposure.ts
+++ b/packages/fleet/src/judgeExposure.ts
@@ -6,7 +6,7 @@
 import {
   findCopiedRun,
   rankTargets,
-  type LoadBook,
+  type LoadRegistry,
   type MoveTarget,
   type RunToMove,
 } from "@stairgauge/placement";
@@ -24,7 +24,7 @@
 /** What judging needs. */
 export type ExposureJudgeOptions = Readonly<{
   directory: ServerDirectory;
-  book: LoadBook;
+  book: LoadRegistry;
   listTargets: (source: BackendServer) => readonly MoveTarget[];
   findTraits: (server: BackendServer) => EngineTraits | undefined;
   /** Whether a server may be sent the run, were it new. */
--- a/packages/fleet/src/planMoves.ts
+++ b/packages/fleet/src/planMoves.ts
@@ -11,7 +11,7 @@
 } from "@stairgauge/migration";
 import {
   rankTargets,
-  type LoadBook,
+  type LoadRegistry,
   type MoveTarget,
   type RunToMove,
 } from "@stairgauge/placement";
@@ -26,7 +26,7 @@
 /** What planning needs. */
 export type MovePlannerOptions = Readonly<{
   clock: Clock;
-  book: LoadBook;
+  book: LoadRegistry;
   reports: Pick<ReportPoller, "ask">;
   listTargets: (source: BackendServer) => readonly MoveTarget[];
   findLink: (server: BackendServer) => CopyLink | undefined;
--- a/packages/fleet/src/pollReports.test.ts
+++ b/packages/fleet/src/pollReports.test.ts
@@ -15,7 +15,7 @@
   type ServerName,
 } from "@stairgauge/directory";
 import type { EngineActions } from "@stairgauge/migration";
-import { createLoadBook, type EngineReport } from "@stairgauge/placement";
+import { createLoadRegistry, type EngineReport } from "@stairgauge/placement";
 import { createReportPoller } from "./pollReports.js";
 
 const REPORT: EngineReport = {
@@ -54,7 +54,7 @@
     clock,
     random,
     directory,
-    book: createLoadBook(),
+    book: createLoadRegistry(),
     actions: { readReport } as EngineActions,
     getInterval: () => interval,
     limit: 500 as Ms,
--- a/packages/fleet/src/pollReports.ts
+++ b/packages/fleet/src/pollReports.ts
@@ -2,14 +2,14 @@
 import type { Clock, Ms, Random, ServiceName } from "@stairgauge/common";
 import type { BackendServer, ServerDirectory, ServerId } from "@stairgauge/directory";
 import type { EngineActions } from "@stairgauge/migration";
-import type { EngineReport, LoadBook } from "@stairgauge/placement";
+import type { EngineReport, LoadRegistry } from "@stairgauge/placement";
 
 /** What polling needs. */
 export type ReportPollerOptions = Readonly<{
   clock: Clock;
   random: Random;
   directory: ServerDirectory;
-  book: LoadBook;
+  book: LoadRegistry;
   actions: EngineActions;
   /** How often an engine is asked by all boxes together, as things are now. */
   getInterval: () => Ms;
--- a/packages/fleet/src/restoredServers.testkit.ts
+++ b/packages/fleet/src/restoredServers.testkit.ts
@@ -9,7 +9,7 @@
 import { createServerDirectory } from "@stairgauge/directory";
 import {
   createRestoreGuard,
-  createRevisionMark,
+  createRevisionWatermark,
   createTableFollower,
   makeRevision,
   type RowChange,
@@ -206,7 +206,7 @@
     gather: 0 as Ms,
     patience: 1_000 as Ms,
     retryPause: { first: 100 as Ms, most: 500 as Ms },
-    revisions: createRevisionMark(),
+    revisions: createRevisionWatermark(),
     sink: guard.observe(sink),
     onStaleRead: () => undefined,
   });
--- a/packages/forwarding/src/createDispatchReports.ts
+++ b/packages/forwarding/src/createDispatchReports.ts
@@ -58,7 +58,7 @@
         countBytesLeft: () => countBytesLeft(attempt),
       },
       continuations: countContinuations(),
-      standing: placer.getStanding(attempt.server),
+      standing: placer.getServerStatus(attempt.server),
     });
 
   return {
--- a/packages/forwarding/src/createForwarder.ts
+++ b/packages/forwarding/src/createForwarder.ts
@@ -119,7 +119,7 @@
       const now = clock.monotonic();
       const access = decideAccess(
         configuration.getIndex(),
-        configuration.getServerStatus(),
+        configuration.getFreshness(),
         {
           host: head.host,
           path: head.target,
--- a/packages/forwarding/src/createServerAsker.ts
+++ b/packages/forwarding/src/createServerAsker.ts
@@ -9,7 +9,7 @@
 /** What asking needs. */
 export type ServerAskerDeps = Pick<
   ForwarderDeps,
-  "clock" | "codec" | "configuration" | "connectLimit" | "placer" | "takeSigns"
+  "clock" | "codec" | "configuration" | "connectLimit" | "placer" | "dispatchSignals"
 >;
 
 /** Creates the asker. */
@@ -25,7 +25,7 @@
       return makeAbsent("it rests, and is not asked", "not_heard");
     const heard = await askServer({ clock, codec, entry, healthPath, connectLimit });
     if (heard.kind === "absent") return heard;
-    deps.takeSigns({ server, signals: heard.signs, source: { kind: "health" } });
+    deps.dispatchSignals({ server, signals: heard.signs, source: { kind: "health" } });
     const isStartUnsaid = heard.startedAt === undefined && entry.startedAt !== undefined;
     if (!isStartUnsaid || !service.engine) return heard;
     // An engine's report tells its start where its health answer does not.
--- a/packages/forwarding/src/forwarderTypes.ts
+++ b/packages/forwarding/src/forwarderTypes.ts
@@ -7,10 +7,10 @@
   AccessRefusal,
   ConfigurationIndex,
   Route,
-  Standing,
+  ConfigurationFreshness,
   WorkspaceSpec,
 } from "@stairgauge/routing";
-import type { HeardSigns } from "@stairgauge/signals";
+import type { ReceivedSignals } from "@stairgauge/signals";
 import type { ActiveRun, ActiveRuns, RunKeeper } from "./activeRuns.js";
 import type { ClientAnswer } from "./clientAnswer.js";
 import type { BytesEnd, Framing, ServerStatus } from "./describeBytesEnd.js";
@@ -24,7 +24,7 @@
 /** What is known when a request comes. */
 export type ConfigurationView = Readonly<{
   getIndex: () => ConfigurationIndex | undefined;
-  getServerStatus: () => Standing;
+  getFreshness: () => ConfigurationFreshness;
   getAge: () => Ms;
 }>;
 
@@ -147,7 +147,7 @@
   /** Whether a server gets no new work, as known now. */
   isLeaving: (server: BackendServer) => boolean;
   /** What is known of a server now. */
-  getStanding: (server: BackendServer) => ServerStatus;
+  getServerStatus: (server: BackendServer) => ServerStatus;
   /** The server's address belongs to another one now. */
   onAddressReused: (server: BackendServer) => void;
   /** No connection came up: the server may be dead, though its entry still stands. */
@@ -178,7 +178,7 @@
   runKeeper: RunKeeper;
   guard: Pick<RequestGuard, "getStatus" | "recordCrash" | "recordServed">;
   /** Takes what a server says of itself in an answer. */
-  takeSigns: (heard: HeardSigns) => void;
+  dispatchSignals: (heard: ReceivedSignals) => void;
   observer: ForwardObserver;
   /** When a refused client should come back. */
   retryAfter: Ms;
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -8,7 +8,7 @@
   ForwardObserver,
   Placer,
 } from "./forwarderTypes.js";
-export type { Framing, ServerStatus as ServerStanding } from "./describeBytesEnd.js";
+export type { Framing, ServerStatus } from "./describeBytesEnd.js";
 export { createActiveRuns } from "./activeRuns.js";
 export type {
   ActiveRun,
@@ -26,11 +26,7 @@
 export { computeClientConnections } from "./computeClientConnections.js";
 export { computePlacingTerms, hasRoomFor, placeWithRoom } from "./placeWithRoom.js";
 export type { PlacingTerms } from "./placeWithRoom.js";
-export type {
-  Advice,
-  AdviceRequest,
-  PlacementAdvisor as PlaceAdviser,
-} from "./placeByAdvice.js";
-export { createWaitQueue as createWaitingRoom } from "./waitQueue.js";
-export type { Waiting, WaitQueue as WaitingRoom } from "./waitQueue.js";
+export type { Advice, AdviceRequest, PlacementAdvisor } from "./placeByAdvice.js";
+export { createWaitQueue } from "./waitQueue.js";
+export type { Waiting, WaitQueue } from "./waitQueue.js";
 export { computeSlackShare } from "./computeSlackShare.js";
--- a/packages/forwarding/src/judgeEnd.test.ts
+++ b/packages/forwarding/src/judgeEnd.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { NO_SIGNS } from "@stairgauge/signals";
+import { NO_SIGNALS } from "@stairgauge/signals";
 import { judgeEnd, judgeEndBy, type EndedAnswer } from "./judgeEnd.js";
 
 const makeEnded = (changes: Partial<EndedAnswer>): EndedAnswer => ({
@@ -49,7 +49,7 @@
     const present = {
       kind: "present",
       startedAt: undefined,
-      signs: NO_SIGNS,
+      signs: NO_SIGNALS,
     } as const;
     expect(judgeEndBy(present)).toEqual({ kind: "whole" });
     expect(judgeEndBy(undefined)).toEqual({ kind: "whole" });
--- a/packages/forwarding/src/recordServerSigns.test.ts
+++ b/packages/forwarding/src/recordServerSigns.test.ts
@@ -1,6 +1,10 @@
 import { describe, expect, it } from "vitest";
 import type { Ms } from "@stairgauge/common";
-import { NO_SIGNS, type HeardSigns, type ServerSignals } from "@stairgauge/signals";
+import {
+  NO_SIGNALS,
+  type ReceivedSignals,
+  type ServerSignals,
+} from "@stairgauge/signals";
 import { makeAnswerHead } from "./answerHead.testkit.js";
 import { recordServerSigns } from "./recordServerSigns.js";
 import { makeServer } from "./server.testkit.js";
@@ -8,7 +12,7 @@
 
 const SERVER = makeServer("page-1");
 const SIGNS: ServerSignals = {
-  ...NO_SIGNS,
+  ...NO_SIGNALS,
   isClosing: true,
   limit: { kind: "named", perSecond: 1.7 },
 };
@@ -17,7 +21,7 @@
   const told: unknown[] = [];
   const listener = {
     placer: { onAnswered: () => told.push("answered") },
-    takeSigns: (heard: HeardSigns) => told.push(heard),
+    dispatchSignals: (heard: ReceivedSignals) => told.push(heard),
   };
   const attempt = {
     server: SERVER,
--- a/packages/forwarding/src/requestTries.test.ts
+++ b/packages/forwarding/src/requestTries.test.ts
@@ -7,7 +7,7 @@
 import { describe, expect, it } from "vitest";
 import { createVirtualClock, type Ms, type ServiceName } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { NO_SIGNS } from "@stairgauge/signals";
+import { NO_SIGNALS } from "@stairgauge/signals";
 import type { Route } from "@stairgauge/routing";
 import { createRequestTries, judgeTry, type TryEnd } from "./requestTries.js";
 import { makeServer } from "./server.testkit.js";
@@ -96,14 +96,17 @@
 });
 
 describe("judgeTry", () => {
-  const RESTS = { ...NO_SIGNS, rest: { kind: "asked", duration: 3_000 as Ms } } as const;
-  const LEAVES = { ...NO_SIGNS, leaving: { kind: "leaving" } } as const;
+  const RESTS = {
+    ...NO_SIGNALS,
+    rest: { kind: "asked", duration: 3_000 as Ms },
+  } as const;
+  const LEAVES = { ...NO_SIGNALS, leaving: { kind: "leaving" } } as const;
 
   it.each([
     ["not sent", false, "not_run", undefined, "unreached"],
     ["not run by one that rests", true, "not_run", RESTS, "turned_away"],
     ["not run by one that leaves", true, "not_run", LEAVES, "turned_away"],
-    ["not run by one without room", true, "not_run", NO_SIGNS, "counts"],
+    ["not run by one without room", true, "not_run", NO_SIGNALS, "counts"],
     ["perhaps run by one that leaves", true, "may_have_run", LEAVES, "counts"],
     ["run by one that leaves, and failed", true, "ran_and_failed", LEAVES, "counts"],
     ["perhaps run, and nothing said", true, "may_have_run", undefined, "counts"],
--- a/packages/forwarding/src/requestTries.ts
+++ b/packages/forwarding/src/requestTries.ts
@@ -2,7 +2,7 @@
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { Demand, PlacementDecision } from "@stairgauge/placement";
-import { NO_SIGNS, type ServerSignals } from "@stairgauge/signals";
+import { NO_SIGNALS, type ServerSignals } from "@stairgauge/signals";
 import type { Verdict } from "./decideNext.js";
 import type { AdmittedRequest, ForwarderDeps } from "./forwarderTypes.js";
 
@@ -25,7 +25,7 @@
 export const judgeTry = (
   wasSent: boolean,
   verdict: Verdict,
-  signs: ServerSignals = NO_SIGNS,
+  signs: ServerSignals = NO_SIGNALS,
 ): TryEnd => {
   if (!wasSent) return "unreached";
   const isOwnReason = signs.rest.kind === "asked" || signs.leaving.kind === "leaving";
--- a/packages/forwarding/src/serverEnds.test.ts
+++ b/packages/forwarding/src/serverEnds.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { advanceSettled, createVirtualClock, type Ms } from "@stairgauge/common";
-import { NO_SIGNS } from "@stairgauge/signals";
+import { NO_SIGNALS } from "@stairgauge/signals";
 import { makeAbsent, type ServerPresence } from "./askServer.js";
 import { makeServer } from "./server.testkit.js";
 import { createServerEnds } from "./serverEnds.js";
@@ -9,7 +9,7 @@
 const PRESENT: ServerPresence = {
   kind: "present",
   startedAt: undefined,
-  signs: NO_SIGNS,
+  signs: NO_SIGNALS,
 };
 const REFUSED = makeAbsent("ECONNREFUSED", "ended");
 const SILENT = makeAbsent("no answer in time", "not_heard");
--- a/packages/forwarding/src/waitQueue.test.ts
+++ b/packages/forwarding/src/waitQueue.test.ts
@@ -9,7 +9,7 @@
 
 const WRITERS = "writers" as ServiceName;
 
-describe("createWaitingRoom", () => {
+describe("createWaitQueue", () => {
   let clock: VirtualClock;
   let room: WaitQueue;
   let free: number;
--- a/packages/limits/src/index.ts
+++ b/packages/limits/src/index.ts
@@ -1,6 +1,6 @@
 /** Limits that backend servers in need name in their answers, and what boxes that know one send. */
 export type * from "./types.js";
-export { NO_LIMIT_UPDATE as NO_LIMIT_NEWS } from "./constants.js";
+export { NO_LIMIT_UPDATE } from "./constants.js";
 export { createRenewalGatherer } from "./gatherRenewals.js";
 export { createServerLimits } from "./serverLimits.js";
 export type {
@@ -8,5 +8,5 @@
   LimitedDemand,
   ServerLimits,
   ServerLimitsOptions,
-  FilteredServers as SiftedServers,
+  FilteredServers,
 } from "./serverLimits.js";
--- a/packages/measure/src/crowded/fleet.ts
+++ b/packages/measure/src/crowded/fleet.ts
@@ -9,12 +9,12 @@
 import type { BackendServer, ServerId, ServerName } from "@stairgauge/directory";
 import {
   computePlacingTerms,
-  createWaitingRoom,
+  createWaitQueue,
   placeWithRoom,
 } from "@stairgauge/forwarding";
 import {
   chooseServer,
-  createLoadBook,
+  createLoadRegistry,
   rankTargets,
   type EngineWay,
   type PlacementDecision,
@@ -51,8 +51,8 @@
 ): LoadOutcome => {
   const clock = createVirtualClock();
   const random = createSeededRandom(seed);
-  const book = createLoadBook();
-  const waitingRoom = createWaitingRoom(clock);
+  const book = createLoadRegistry();
+  const waitingRoom = createWaitQueue(clock);
   const engines = new Map<
     string,
     Readonly<{ engine: ModelEngine; server: BackendServer }>
--- a/packages/peers/src/applyUpdate.ts
+++ b/packages/peers/src/applyUpdate.ts
@@ -3,12 +3,12 @@
 import type { CrashUpdate } from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
 import type { LimitUpdate } from "@stairgauge/limits";
-import type { LoadBook } from "@stairgauge/placement";
+import type { LoadRegistry } from "@stairgauge/placement";
 import type { RunUpdate, SharedLeaving, SharedReport } from "./types.js";
 
 /** Where an update goes. */
 export type UpdateSinks = Readonly<{
-  book: LoadBook;
+  book: LoadRegistry;
   onLeaving: (told: SharedLeaving) => void;
   onReport: (told: SharedReport) => void;
   onBroken: (server: ServerId) => void;
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -15,11 +15,8 @@
 export type { PeerServer, PeerServerOptions } from "./peerServer.js";
 export { createWatchShares } from "./watchShares.js";
 export type { WatchShares } from "./watchShares.js";
-export { createRunReporter as createRunTeller } from "./runReporter.js";
-export type {
-  RunReporter as RunTeller,
-  RunReporterOptions as RunTellerOptions,
-} from "./runReporter.js";
+export { createRunReporter } from "./runReporter.js";
+export type { RunReporter, RunReporterOptions } from "./runReporter.js";
 export { hasHubs } from "./hubs.js";
 export { createHubAsker } from "./hubAsker.js";
 export type { HubAsker, HubAskerOptions } from "./hubAsker.js";
--- a/packages/peers/src/makeNotice.ts
+++ b/packages/peers/src/makeNotice.ts
@@ -1,13 +1,13 @@
 /** Makes what a box tells those that are linked to it. */
-import { NO_CRASH_NEWS } from "@stairgauge/crashes";
-import { NO_LIMIT_NEWS } from "@stairgauge/limits";
+import { NO_CRASH_UPDATE } from "@stairgauge/crashes";
+import { NO_LIMIT_UPDATE } from "@stairgauge/limits";
 import type { HubNotice, SharedUnsettledRows } from "./types.js";
 
 /** Makes a notice of what is given and of nothing else. */
 export const makeNotice = (told: Partial<HubNotice>): HubNotice => ({
   leaving: [],
-  crashes: NO_CRASH_NEWS,
-  limits: NO_LIMIT_NEWS,
+  crashes: NO_CRASH_UPDATE,
+  limits: NO_LIMIT_UPDATE,
   unsettled: [],
   ...told,
 });
--- a/packages/peers/src/peers.test.ts
+++ b/packages/peers/src/peers.test.ts
@@ -12,23 +12,31 @@
   type Ms,
   type ServiceName,
 } from "@stairgauge/common";
-import { NO_CRASH_NEWS, type CrashUpdate, type RequestDigest } from "@stairgauge/crashes";
+import {
+  NO_CRASH_UPDATE,
+  type CrashUpdate,
+  type RequestDigest,
+} from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
 import type { LimitUpdate } from "@stairgauge/limits";
 import {
-  BEFORE_ALL,
+  INITIAL_REVISION,
   createTableMirror,
   makeRevision,
   type TableMirror,
 } from "@stairgauge/storefeed";
-import { createLoadBook, type EngineReport, type PlacedRun } from "@stairgauge/placement";
+import {
+  createLoadRegistry,
+  type EngineReport,
+  type PlacedRun,
+} from "@stairgauge/placement";
 import {
   answerTable,
   applyUpdate,
   createMembership,
   createPeerLinks,
   createPeerServer,
-  createRunTeller,
+  createRunReporter,
   createWatchShares,
   makeNotice,
   type HubNotice,
@@ -87,8 +95,8 @@
   while (!isMet()) await new Promise((resolve) => setTimeout(resolve, 5));
 };
 
-const openListener = async (greeting: CrashUpdate = NO_CRASH_NEWS) => {
-  const book = createLoadBook();
+const openListener = async (greeting: CrashUpdate = NO_CRASH_UPDATE) => {
+  const book = createLoadRegistry();
   const lost: string[] = [];
   const leaving: SharedLeaving[] = [];
   const reports: SharedReport[] = [];
@@ -160,8 +168,8 @@
   const leaving: SharedLeaving[] = [];
   const notices: HubNotice[] = [];
   const tellers: BoxName[] = [];
-  const book = createLoadBook((change) => teller.takeChange(change));
-  const teller = createRunTeller({
+  const book = createLoadRegistry((change) => teller.takeChange(change));
+  const teller = createRunReporter({
     clock,
     own,
     book,
@@ -427,7 +435,7 @@
     silencer.stopAll();
     here.book.addRun(server, makeRun("unheard"));
     const given = new AbortController();
-    const question = { kind: "whole", table: "t", atLeast: BEFORE_ALL } as const;
+    const question = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
     const unanswered = here.links.ask(there.peer.box, question, given.signal);
     given.abort();
     expect((await unanswered).val).toMatchObject({ kind: "failed" });
@@ -511,7 +519,7 @@
     await waitFor(() => here.links.listUp().length === 1);
     const ask = (question: TableQuestion) =>
       here.links.ask(there.peer.box, question, signal);
-    const whole = { kind: "whole", table: "t", atLeast: BEFORE_ALL } as const;
+    const whole = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
     expect((await ask(whole)).val).toEqual({ kind: "not_known" });
     const clock = createSystemClock();
     const mirror = createTableMirror(clock);
@@ -569,7 +577,7 @@
     const whole = await answerTable(sources, {
       kind: "whole",
       table: "other",
-      atLeast: BEFORE_ALL,
+      atLeast: INITIAL_REVISION,
     });
     expect(whole).toMatchObject({ age: 100, silence: 3_000 });
     const question = { kind: "changes", table: "other", since: toRevision(1) } as const;
@@ -579,7 +587,7 @@
 
   it("says that there is no link, that a call failed, and that it was given up", async () => {
     const here = openTeller();
-    const question = { kind: "whole", table: "t", atLeast: BEFORE_ALL } as const;
+    const question = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
     const nobody = "nobody" as BoxName;
     expect((await here.links.ask(nobody, question, signal)).val).toEqual({
       kind: "no_link",
--- a/packages/peers/src/rowCodec.ts
+++ b/packages/peers/src/rowCodec.ts
@@ -2,7 +2,7 @@
 import { gunzipSync, gzipSync } from "node:zlib";
 import {
   makeRevision,
-  UNTOLD_ERA,
+  UNKNOWN_ERA,
   type StoredRow,
   type StoreRevision,
 } from "@stairgauge/storefeed";
@@ -12,7 +12,7 @@
 export const count = z.number().nonnegative();
 
 /** Boxes of earlier releases tell no era. */
-export const revisionFields = { revision: count, era: count.default(UNTOLD_ERA) };
+export const revisionFields = { revision: count, era: count.default(UNKNOWN_ERA) };
 
 type WireRevision = Readonly<{ revision: number; era: number }>;
 
--- a/packages/peers/src/runReporter.ts
+++ b/packages/peers/src/runReporter.ts
@@ -1,9 +1,9 @@
 /** Collects changes of this box's runs and tells them together. */
 import type { BoxName, Clock, Ms } from "@stairgauge/common";
-import { NO_CRASH_NEWS, type CrashUpdate } from "@stairgauge/crashes";
+import { NO_CRASH_UPDATE, type CrashUpdate } from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
-import { NO_LIMIT_NEWS, type LimitUpdate } from "@stairgauge/limits";
-import type { LoadBook, RunChange } from "@stairgauge/placement";
+import { NO_LIMIT_UPDATE, type LimitUpdate } from "@stairgauge/limits";
+import type { LoadRegistry, RunChange } from "@stairgauge/placement";
 import type { RunUpdate, SharedLeaving, SharedReport } from "./types.js";
 
 /** Changes within this time go out together; a placement by another box should see them. */
@@ -13,7 +13,7 @@
 export type RunReporterOptions = Readonly<{
   clock: Clock;
   own: BoxName;
-  book: LoadBook;
+  book: LoadRegistry;
   send: (update: RunUpdate) => void;
   /** Sends to a few boxes, which pass it on. */
   sendToSome: (update: RunUpdate) => void;
@@ -48,8 +48,8 @@
   const { clock, own, book, send, sendToSome } = options;
   let pending: RunChange[] = [];
   let reports: SharedReport[] = [];
-  let crashes = NO_CRASH_NEWS;
-  let limits = NO_LIMIT_NEWS;
+  let crashes = NO_CRASH_UPDATE;
+  let limits = NO_LIMIT_UPDATE;
   let isScheduled = false;
 
   const buildUpdate = (told: Partial<RunUpdate>): RunUpdate => ({
@@ -60,8 +60,8 @@
     leaving: [],
     reports: [],
     broken: [],
-    crashes: NO_CRASH_NEWS,
-    limits: NO_LIMIT_NEWS,
+    crashes: NO_CRASH_UPDATE,
+    limits: NO_LIMIT_UPDATE,
     ...told,
   });
 
@@ -78,8 +78,8 @@
     isScheduled = false;
     pending = [];
     reports = [];
-    crashes = NO_CRASH_NEWS;
-    limits = NO_LIMIT_NEWS;
+    crashes = NO_CRASH_UPDATE;
+    limits = NO_LIMIT_UPDATE;
     const last = new Map(
       changes.map((change) => [`${change.server} ${change.id}`, change]),
     );
--- a/packages/peers/src/sharedKnowledge.testkit.ts
+++ b/packages/peers/src/sharedKnowledge.testkit.ts
@@ -10,7 +10,7 @@
   type Random,
 } from "@stairgauge/common";
 import {
-  createRevisionMark,
+  createRevisionWatermark,
   createTableFollower,
   createTableMirror,
   makeRevision,
@@ -326,7 +326,7 @@
       gather: 0 as Ms,
       patience: 1_600 as Ms,
       retryPause: { first: 100 as Ms, most: 500 as Ms },
-      revisions: createRevisionMark(),
+      revisions: createRevisionWatermark(),
       onStaleRead: () => undefined,
       sink,
     });
--- a/packages/peers/src/sharedReader.ts
+++ b/packages/peers/src/sharedReader.ts
@@ -12,7 +12,7 @@
   type Result,
 } from "@stairgauge/common";
 import {
-  BEFORE_ALL,
+  INITIAL_REVISION,
   compareRevisions,
   isEarlierRevision,
   NEW_ERA,
@@ -318,7 +318,7 @@
     request: WholeRequest,
   ): Promise<Result<TableSnapshot, StoreFailure>> => {
     const { table, atLeast, signal } = request;
-    if (compareRevisions(atLeast, BEFORE_ALL) === 0) return readFirst(request);
+    if (compareRevisions(atLeast, INITIAL_REVISION) === 0) return readFirst(request);
     const question = { kind: "whole", table, atLeast } as const;
     const answer = await askInTurn(chooseBox(), question, signal);
     const told = toSnapshot(answer, atLeast);
--- a/packages/peers/src/tableCodec.ts
+++ b/packages/peers/src/tableCodec.ts
@@ -1,6 +1,6 @@
 /** Questions for a table and their answers as bytes, and back; what another box sends is checked like any input. */
 import type { Ms } from "@stairgauge/common";
-import { BEFORE_ALL, makeRevision, type RowChange } from "@stairgauge/storefeed";
+import { INITIAL_REVISION, makeRevision, type RowChange } from "@stairgauge/storefeed";
 import { z } from "zod";
 import {
   count,
@@ -20,7 +20,7 @@
   z.object({
     kind: z.literal("whole"),
     table: z.string(),
-    revision: count.default(BEFORE_ALL.version),
+    revision: count.default(INITIAL_REVISION.version),
     era: revisionFields.era,
   }),
   z.object({
--- a/packages/peers/src/types.ts
+++ b/packages/peers/src/types.ts
@@ -11,7 +11,7 @@
   StoreRevision,
   UnsettledRows,
 } from "@stairgauge/storefeed";
-import type { LeavingBasis, ServerAddress, ServerId } from "@stairgauge/directory";
+import type { LeavingEvidence, ServerAddress, ServerId } from "@stairgauge/directory";
 import type {
   EngineReport,
   MoveTarget,
@@ -36,7 +36,7 @@
 export type Peer = Member & Readonly<{ address: ServerAddress }>;
 
 /** A server that leaves, and what the box that tells it rests on. */
-export type SharedLeaving = Readonly<{ server: ServerId; basis: LeavingBasis }>;
+export type SharedLeaving = Readonly<{ server: ServerId; basis: LeavingEvidence }>;
 
 /** A report that a box has just had from an engine. */
 export type SharedReport = Readonly<{ server: ServerId; report: EngineReport }>;
--- a/packages/peers/src/updateCodec.ts
+++ b/packages/peers/src/updateCodec.ts
@@ -1,13 +1,13 @@
 /** Updates as bytes, and back; what another box sends is checked like any input. */
 import type { BoxName, Ms } from "@stairgauge/common";
 import {
-  NO_CRASH_NEWS,
+  NO_CRASH_UPDATE,
   REQUEST_DIGEST,
   type CrashUpdate,
   type RequestDigest,
 } from "@stairgauge/crashes";
-import type { LeavingBasis, ServerId } from "@stairgauge/directory";
-import { NO_LIMIT_NEWS, type LimitUpdate } from "@stairgauge/limits";
+import type { LeavingEvidence, ServerId } from "@stairgauge/directory";
+import { NO_LIMIT_UPDATE, type LimitUpdate } from "@stairgauge/limits";
 import type { PlacedRun } from "@stairgauge/placement";
 import { z } from "zod";
 import { count, rowSchema, toWireRow } from "./rowCodec.js";
@@ -167,7 +167,7 @@
     ...(basis === "own_word" && { own: true }),
   }));
 
-const toBasis = (told: Readonly<{ gone: boolean; own: boolean }>): LeavingBasis => {
+const toBasis = (told: Readonly<{ gone: boolean; own: boolean }>): LeavingEvidence => {
   if (told.own) return "own_word";
   return told.gone ? "entry_gone" : "concluded";
 };
@@ -183,7 +183,7 @@
 
 const decodeCrashes = (told: z.infer<typeof crashesSchema> | undefined): CrashUpdate =>
   told === undefined
-    ? NO_CRASH_NEWS
+    ? NO_CRASH_UPDATE
     : {
         ends: told.ends.map(({ digest, server, age }) => ({
           digest: digest as RequestDigest,
@@ -198,7 +198,7 @@
 
 const decodeLimits = (told: z.infer<typeof limitsSchema> | undefined): LimitUpdate =>
   told === undefined
-    ? NO_LIMIT_NEWS
+    ? NO_LIMIT_UPDATE
     : {
         named: told.named.map(({ server, perSecond, knownFor, age }) => ({
           server: server as ServerId,
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -2,7 +2,7 @@
 import type { Ms, ServiceName, WorkspaceName } from "@stairgauge/common";
 import {
   computeTimeLimit,
-  createConfigurationKeeper,
+  createConfigurationHolder,
   decideAccess,
   indexConfiguration,
   type ConfigurationVersion,
@@ -50,7 +50,7 @@
 
 const toMs = (time: number) => time as Ms;
 const makeKeeper = () =>
-  createConfigurationKeeper({ denyWithin: toMs(2_000), acceptWithin: toMs(4_700) });
+  createConfigurationHolder({ denyWithin: toMs(2_000), acceptWithin: toMs(4_700) });
 
 describe("indexConfiguration", () => {
   const index = indexConfiguration(makeConfiguration(1));
@@ -74,7 +74,7 @@
   });
 });
 
-describe("createConfigurationKeeper", () => {
+describe("createConfigurationHolder", () => {
   it("never goes back to an older version, and an older one confirms nothing", () => {
     const keeper = makeKeeper();
     expect(keeper.adopt(makeConfiguration(7), toMs(100)).kind).toBe("adopted");
--- a/packages/signals/src/dispatchSignals.test.ts
+++ b/packages/signals/src/dispatchSignals.test.ts
@@ -1,12 +1,17 @@
 import { describe, expect, it } from "vitest";
 import type { Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
-import { NO_SIGNS, takeSigns, type ServerSignals, type SignalHandlers } from "./index.js";
+import {
+  NO_SIGNALS,
+  dispatchSignals,
+  type ServerSignals,
+  type SignalHandlers,
+} from "./index.js";
 
 const SERVER = {} as BackendServer;
 const SOURCE = { kind: "health" } as const;
 
-describe("takeSigns", () => {
+describe("dispatchSignals", () => {
   it("calls the taker of each sign once, with what the answer says", () => {
     const taken: unknown[] = [];
     const take =
@@ -20,8 +25,8 @@
       leaving: take("leaving"),
       rest: take("rest"),
     };
-    const signals = { ...NO_SIGNS, warmUpLeft: 30 as Ms };
-    takeSigns(takers, { server: SERVER, signals, source: SOURCE });
+    const signals = { ...NO_SIGNALS, warmUpLeft: 30 as Ms };
+    dispatchSignals(takers, { server: SERVER, signals, source: SOURCE });
     expect(taken).toEqual(
       Object.entries(signals).map(([name, sign]) => [
         name,
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -65,10 +65,7 @@
   LIMIT_CONTACT_MS,
 } from "./usersPlatform/limitRule.js";
 export type { CountedArrival } from "./usersPlatform/limitRule.js";
-export {
-  countMostInRest,
-  MAX_IN_REST as MOST_IN_REST,
-} from "./usersPlatform/restRule.js";
+export { countMostInRest, MAX_IN_REST } from "./usersPlatform/restRule.js";
 export type { RestArrival } from "./usersPlatform/restRule.js";
 export { formatWireAsk, startWireEngine } from "./usersPlatform/wireEngine.js";
 export type { WireAsk, WireBirthPlace } from "./usersPlatform/wireEngine.js";
--- a/packages/storefeed/src/tableFollower.test.ts
+++ b/packages/storefeed/src/tableFollower.test.ts
@@ -9,8 +9,8 @@
   type Result,
 } from "@stairgauge/common";
 import {
-  BEFORE_ALL,
-  createRevisionMark,
+  INITIAL_REVISION,
+  createRevisionWatermark,
   createTableFollower,
   makeRevision,
   type StoreFailure,
@@ -38,7 +38,11 @@
 });
 
 /** Plays one answer after another; a call that does not fit the script fails the test. */
-const setUp = (steps: readonly Step[], gather = 0, revisions = createRevisionMark()) => {
+const setUp = (
+  steps: readonly Step[],
+  gather = 0,
+  revisions = createRevisionWatermark(),
+) => {
   const clock = createVirtualClock();
   const told: string[] = [];
   const calls: string[] = [];
@@ -214,7 +218,7 @@
   });
 
   it("is read whole for every table once one of them shows the era, without a failure", async () => {
-    const revisions = createRevisionMark();
+    const revisions = createRevisionWatermark();
     const { clock, follower, told, calls } = setUp(
       [
         { whole: Ok({ rows: [], revision: toRevision(9), source }) },
@@ -263,7 +267,7 @@
   });
 
   it("is of use in whatever state to a follower that has read nothing, and from its era on to others", async () => {
-    const revisions = createRevisionMark();
+    const revisions = createRevisionWatermark();
     revisions.raise({ table: "other", by: "store", revision: BACK });
     const { clock, follower, useful } = setUp(
       [
@@ -276,6 +280,6 @@
     follower.start();
     await advanceSettled(clock, 150 as Ms);
     follower.stop();
-    expect(useful).toEqual([BEFORE_ALL, BEFORE_ALL]);
+    expect(useful).toEqual([INITIAL_REVISION, INITIAL_REVISION]);
   });
 });
