--- a/packages/crashes/src/blockedList.test.ts
+++ b/packages/crashes/src/blockedList.test.ts
@@ -25,7 +25,7 @@
 const DIGEST = "0123456789abcdef0123456789abcdef" as RequestDigest;
 const MEMORY_MS = 3_600_000 as Ms;
 
-const createBox = ({ isKeeper = false } = {}) => {
+const createBox = ({ isFirst = false } = {}) => {
   const clock = createVirtualClock();
   const calls: string[] = [];
   const values = new Map<string, Buffer>();
@@ -55,15 +55,15 @@
     table: "blocked",
     limit: 1_000 as Ms,
     getGuard: () => guard,
-    getRank: () => (isKeeper ? 0 : 1),
+    getRank: () => (isFirst ? 0 : 1),
     onFailure: (failure) => failures.push(failure),
     onReview: () => undefined,
   });
-  const recordEnds = (servers: readonly string[]) =>
+  const recordCrashes = (servers: readonly string[]) =>
     servers.forEach((server) =>
       guard.recordCrash({ digest: DIGEST, server: server as ServerId }),
     );
-  const judge = () => guard.getStatus(() => DIGEST).kind;
+  const getKind = () => guard.getStatus(() => DIGEST).kind;
   const makeRow = (value = values.get(DIGEST)!) => ({
     key: DIGEST,
     value,
@@ -76,8 +76,8 @@
     failures,
     guard,
     list,
-    recordEnds,
-    judge,
+    recordCrashes,
+    getKind,
     makeRow,
     setAnswer: (next: typeof answer) => {
       answer = next;
@@ -86,10 +86,10 @@
 };
 
 describe("createBlockedList", () => {
-  it("puts a blocked request until its row is seen", async () => {
+  it("repeats the write of a blocked request until its row is read back", async () => {
     const box = createBox();
     box.setAnswer(Err({ kind: "refused", status: 503 }));
-    box.recordEnds(["a", "b", "c"]);
+    box.recordCrashes(["a", "b", "c"]);
     await advanceSettled(box.clock, 4_500 as Ms);
     expect(box.calls).toEqual([`put ${DIGEST}`, `put ${DIGEST}`, `put ${DIGEST}`]);
     expect(box.failures.length).toBe(3);
@@ -98,9 +98,9 @@
     expect(box.calls.length).toBe(3);
   });
 
-  it("has a box that starts later block the request by its row, as old as its ends are", async () => {
+  it("blocks a listed request at a box that starts later, with the ages of its crashes", async () => {
     const first = createBox();
-    first.recordEnds(["a", "b", "c"]);
+    first.recordCrashes(["a", "b", "c"]);
     const later = createBox();
     later.clock.advance(600_000 as Ms);
     later.list.sink.onWhole([first.makeRow()], 0 as Ms, toRevision(1));
@@ -113,28 +113,28 @@
   });
 
   it.each(["onWhole", "onChanges"] as const)(
-    "releases a request whose row an operator has dropped (%s)",
+    "releases a request when an operator drops its row (%s)",
     (how) => {
       const box = createBox();
-      box.recordEnds(["a", "b", "c"]);
+      box.recordCrashes(["a", "b", "c"]);
       box.list.sink.onWhole([box.makeRow()], 0 as Ms, toRevision(1));
       if (how === "onWhole") box.list.sink.onWhole([], 0 as Ms, toRevision(2));
       else
         box.list.sink.onChanges([{ kind: "gone", key: DIGEST }], 0 as Ms, toRevision(2));
-      expect(box.judge()).toBe("unsuspected");
+      expect(box.getKind()).toBe("unsuspected");
     },
   );
 
-  it("does not take a row that has not been written yet for one that was dropped", () => {
+  it("keeps a request blocked while its row has not been written yet", () => {
     const box = createBox();
-    box.recordEnds(["a", "b", "c"]);
+    box.recordCrashes(["a", "b", "c"]);
     box.list.sink.onWhole([], 0 as Ms, toRevision(1));
-    expect(box.judge()).toBe("blocked");
+    expect(box.getKind()).toBe("blocked");
   });
 
-  it("takes a request off that a server has served", async () => {
+  it("drops the row of a request that a server has completed", async () => {
     const box = createBox();
-    box.recordEnds(["a", "b", "c"]);
+    box.recordCrashes(["a", "b", "c"]);
     box.list.sink.onWhole([box.makeRow()], 0 as Ms, toRevision(1));
     box.guard.recordServed(() => DIGEST);
     await advanceSettled(box.clock, 100 as Ms);
@@ -142,39 +142,39 @@
   });
 
   it.each([true, false])(
-    "drops rows whose time has passed, by one box: %s",
-    async (isKeeper) => {
-      const box = createBox({ isKeeper });
-      box.recordEnds(["a", "b", "c"]);
+    "drops expired rows only at the box of rank 0 (%s)",
+    async (isFirst) => {
+      const box = createBox({ isFirst });
+      box.recordCrashes(["a", "b", "c"]);
       box.list.start();
       box.list.sink.onWhole([box.makeRow()], 0 as Ms, toRevision(1));
       await advanceSettled(box.clock, MEMORY_MS);
       await advanceSettled(box.clock, 120_000 as Ms);
-      expect(box.calls.includes(`drop ${DIGEST}`)).toBe(isKeeper);
+      expect(box.calls.includes(`drop ${DIGEST}`)).toBe(isFirst);
       box.list.stop();
     },
   );
 
   it.each(["", "{}", '{"ends":[{"server":1,"at":0}]}'])(
-    "names a row it can't read: %j",
+    "reports a row with the unreadable value %j and blocks nothing",
     (text) => {
       const box = createBox();
       box.list.sink.onWhole([box.makeRow(Buffer.from(text))], 0 as Ms, toRevision(1));
       expect(box.failures).toEqual([{ kind: "unreadable_request", key: DIGEST }]);
-      expect(box.judge()).toBe("unsuspected");
+      expect(box.getKind()).toBe("unsuspected");
     },
   );
 
-  it("takes no request from a row whose key is no digest", () => {
+  it("reports a row whose key is not a digest and blocks nothing", () => {
     const box = createBox();
-    box.recordEnds(["a", "b", "c"]);
+    box.recordCrashes(["a", "b", "c"]);
     const row = { ...box.makeRow(box.values.get(DIGEST)), key: "x" };
     box.list.sink.onWhole([row], 0 as Ms, toRevision(1));
     expect(box.failures).toEqual([{ kind: "unreadable_request", key: "x" }]);
     expect(box.guard.getStatus(() => "x" as RequestDigest).kind).toBe("unsuspected");
   });
 
-  describe("when the store comes back from a copy", () => {
+  describe("when the store was restored from a copy", () => {
     const makeReport = (changes: Partial<RestoreReport>): RestoreReport => ({
       revision: makeRevision(2, 1),
       rows: 0,
@@ -184,15 +184,15 @@
       isUnsettled: () => true,
       ...changes,
     });
-    const setUpListed = (isKeeper: boolean) => {
-      const box = createBox({ isKeeper });
-      box.recordEnds(["a", "b", "c"]);
+    const setUpListed = (isFirst: boolean) => {
+      const box = createBox({ isFirst });
+      box.recordCrashes(["a", "b", "c"]);
       box.list.sink.onWhole([box.makeRow()], 0 as Ms, toRevision(1));
       box.calls.length = 0;
       return box;
     };
 
-    it("writes a lost row again, the first box at once and the next one if it must", async () => {
+    it("writes a missing row again, at the first box at once and at the second only if it is still missing", async () => {
       const first = setUpListed(true);
       const second = setUpListed(false);
       let isUnsettled = true;
@@ -207,10 +207,10 @@
       await advanceSettled(first.clock, 5_000 as Ms);
       await advanceSettled(second.clock, 5_000 as Ms);
       expect([first.calls, second.calls]).toEqual([[`put ${DIGEST}`], []]);
-      expect(first.judge()).toBe("blocked");
+      expect(first.getKind()).toBe("blocked");
     });
 
-    it("writes until the row is there, and drops again what was dropped", async () => {
+    it("repeats writing missing rows and dropping withheld rows until they are settled", async () => {
       const box = setUpListed(true);
       box.setAnswer(Err({ kind: "answer_lost", detail: "x" }));
       const row = { ...box.makeRow(), key: "dropped" };
@@ -224,7 +224,7 @@
       ]);
     });
 
-    it("keeps a request blocked whose row is lost, and released one that was", () => {
+    it("keeps missing rows for a time, and takes withheld rows only after a time", () => {
       const row = { ...createBox().makeRow(Buffer.from("")), key: DIGEST };
       expect(BLOCKED_RESTORE_RULES.resolveMissing(row).kind).toBe("keep_for");
       expect(BLOCKED_RESTORE_RULES.resolveDropped(row).kind).toBe("take_after");
--- a/packages/crashes/src/blockedList.ts
+++ b/packages/crashes/src/blockedList.ts
@@ -1,4 +1,4 @@
-/** Keeps the store's list of blocked requests: puts what this box has found out, and drops what no longer holds. */
+/** Keeps the store's list of blocked requests: adds those that this box blocked, and removes outdated ones. */
 import type { Clock, Ms, Result, Timer } from "@stairgauge/common";
 import type {
   FollowerSink,
@@ -15,61 +15,64 @@
 import type { BlockedRequest, RequestGuard } from "./requestGuard.js";
 import type { RequestDigest } from "./types.js";
 
-/** What the list needs. */
+/** Dependencies and settings of the list. */
 export type BlockedListOptions = Readonly<{
   clock: Clock;
   writer: StoreWriter;
   table: string;
-  /** How long a write may take. */
+  /** Timeout of one write. */
   limit: Ms;
   getGuard: () => Pick<RequestGuard, "applyUpdate" | "release" | "getStatus">;
-  /** The box's place among those that write for all; the first one drops rows whose time has passed. */
+  /**
+   * Rank of this box among the boxes that write to the store; undefined when it is not one of them. The box of rank 0 removes
+   * expired rows.
+   */
   getRank: () => number | undefined;
   onFailure: (failure: StoreWriteFailure | BlockedRowFailure) => void;
-  /** Blocks may have run out meanwhile. */
+  /** Called at each periodic check of the rows: blocks may have expired since the last one. */
   onReview: () => void;
 }>;
 
-/** One box's part in the list. */
+/** Reads and writes the list for one box. */
 export type BlockedList = Readonly<{
-  /** For the follower of the table. */
+  /** Receives the rows and changes from the table's follower. */
   sink: FollowerSink;
-  /** Lists a request whose block this box has found out. */
+  /** Writes a row for a request that this box has blocked. */
   put: (blocked: BlockedRequest) => void;
-  /** Takes a request off that a server has served. */
+  /** Removes the row of a request that is no longer blocked. */
   drop: (digest: RequestDigest) => void;
-  /** Writes again what the copy lacks that the store has come back from. */
+  /** After the store was restored from a copy: writes the rows that the copy lacks, and drops again those that had been dropped. */
   recover: (report: RestoreReport) => void;
   start: () => void;
   stop: () => void;
 }>;
 
-/** A write that is made again and again until the row is seen as it should be. */
+/** A write that is repeated until it is no longer due. */
 type PendingWrite = Readonly<{
   isDue: () => boolean;
   write: (signal: AbortSignal) => Promise<Result<void, StoreWriteFailure>>;
 }>;
 
-/** Pause before a write is made again, until the row is seen as it should be. */
+/** Pause before a write is repeated. Also a successful write is repeated until the follower shows its effect. */
 const RETRY_PAUSE_MS = 2_000 as Ms;
 
-/** Boxes that write again what was lost, one after the other until it is there. */
+/** Number of boxes that repair the table after a restore. They start one after the other and stop once it is repaired. */
 const RECOVERING_BOXES = 3;
 
-/** Lost rows are written again within this time; what is not is taken from the store as it is. */
+/** Time in which the table is repaired after a restore. After it, the store's rows are used as they are. */
 const RECOVERED_WITHIN_MS = 30_000 as Ms;
 
-/** What counts of the table when the store comes back from a copy. */
+/** How rows count that differ from the store after it was restored from a copy. */
 export const BLOCKED_RESTORE_RULES: RestoreRules = {
   isUndone: () => false,
   resolveMissing: () => ({ kind: "keep_for", duration: RECOVERED_WITHIN_MS }),
   resolveDropped: () => ({ kind: "take_after", duration: RECOVERED_WITHIN_MS }),
 };
 
-/** How often rows are looked through for those whose time has passed. */
+/** Interval of the check for expired rows. */
 const REVIEW_MS = 60_000 as Ms;
 
-/** Creates the list. */
+/** Creates the list. Its periodic check runs after `start`. */
 export const createBlockedList = (options: BlockedListOptions): BlockedList => {
   const { clock, writer, table, limit, getGuard, getRank, onFailure } = options;
   let isStopped = false;
@@ -118,14 +121,14 @@
     for (const pending of writes)
       clock.setTimer((rank * RETRY_PAUSE_MS) as Ms, () => void writeWhile(pending));
   };
-  const lookAtRows = () => {
+  const checkRows = () => {
     if (isStopped) return;
     options.onReview();
     if (getRank() === 0) rows.list().forEach(drop);
     startReview();
   };
   const startReview = () => {
-    review = clock.setTimer(REVIEW_MS, lookAtRows);
+    review = clock.setTimer(REVIEW_MS, checkRows);
   };
 
   return {
--- a/packages/crashes/src/blockedRows.ts
+++ b/packages/crashes/src/blockedRows.ts
@@ -1,4 +1,7 @@
-/** Blocked requests as rows of the store, where they outlast all boxes; an operator releases one by dropping its row. */
+/**
+ * Blocked requests as rows of the store, where they survive a restart of all boxes. An operator unblocks a request by dropping
+ * its row.
+ */
 import { Err, Ok, type Clock, type Ms, type Result } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { FollowerSink, StoredRow } from "@stairgauge/storefeed";
@@ -10,16 +13,16 @@
   ends: z.array(z.object({ server: z.string(), at: z.number() })).max(64),
 });
 
-/** Why a row says nothing of a request. */
+/** A row whose key or value could not be decoded. */
 export type BlockedRowFailure = Readonly<{ kind: "unreadable_request"; key: string }>;
 
-/** Encodes the ends of a request; the times are times of day, which boxes share. */
+/** Encodes the crashes of a request. Ages become wall-clock times, which all boxes share. */
 export const encodeBlockedRow = (ends: readonly SharedCrash[], now: Ms): Buffer =>
   Buffer.from(
     JSON.stringify({ ends: ends.map(({ server, age }) => ({ server, at: now - age })) }),
   );
 
-/** Decodes a row under the key of a request; a time of day that jumped makes no end younger than now. */
+/** Decodes the crashes of a row, whose key is the request's digest. A wall clock that jumped makes no age negative. */
 const decodeBlockedRow = (
   { key, value }: Pick<StoredRow, "key" | "value">,
   now: Ms,
@@ -38,24 +41,24 @@
   }
 };
 
-/** Who hears what the rows say. */
+/** The clock and the callbacks for changes of the rows. */
 export type BlockedRowsOptions = Readonly<{
   clock: Pick<Clock, "now">;
   onListed: (ends: readonly SharedCrash[]) => void;
-  /** A row that was there is gone. */
+  /** A listed row has been dropped from the store. */
   onDropped: (digest: RequestDigest) => void;
   onUnreadable: (failure: BlockedRowFailure) => void;
 }>;
 
-/** The rows, as a box follows them. */
+/** The rows of the table as this box last read them. */
 export type BlockedRows = Readonly<{
-  /** For the follower of the table. */
+  /** Receives the rows and changes from the table's follower. */
   sink: FollowerSink;
   has: (digest: RequestDigest) => boolean;
   list: () => readonly RequestDigest[];
 }>;
 
-/** Creates the sink before the first read. */
+/** Creates an empty set of rows, to be filled through its sink. */
 export const createBlockedRows = (options: BlockedRowsOptions): BlockedRows => {
   const { clock, onListed, onDropped, onUnreadable } = options;
   const listed = new Set<RequestDigest>();
@@ -65,7 +68,7 @@
       onUnreadable({ kind: "unreadable_request", key: row.key });
       return;
     }
-    // Listed even if its ends can't be read: its keeper drops it in time.
+    // A row with an unreadable value is listed too, so that the box that removes expired rows drops it.
     listed.add(row.key as RequestDigest);
     const decoded = decodeBlockedRow(row, clock.now());
     if (decoded.ok) onListed(decoded.val);
@@ -78,8 +81,8 @@
   return {
     sink: {
       onWhole: (rows) => {
-        const there = new Set<string>(rows.map(({ key }) => key));
-        for (const digest of [...listed]) if (!there.has(digest)) drop(digest);
+        const present = new Set<string>(rows.map(({ key }) => key));
+        for (const digest of [...listed]) if (!present.has(digest)) drop(digest);
         rows.forEach(put);
       },
       onChanges: (changes) => {
--- a/packages/crashes/src/constants.ts
+++ b/packages/crashes/src/constants.ts
@@ -1,25 +1,28 @@
-/** Figures of requests under which servers end. */
+/** Thresholds for requests that may crash servers. */
 import type { Ms } from "@stairgauge/common";
 import type { CrashUpdate } from "./types.js";
 
 /**
- * A server that has carried a request for longer, or has made more events of it, did not end by beginning to run it: those that a
- * request ended did so within 0.2 s and before its first event, with streams aboard that had made up to 226.
+ * A request that has run for longer, or has produced more events, is not suspected of a server's crash. Requests that crashed
+ * servers did so within 0.2 s and before their first event; other streams on these servers had produced up to 226 events.
  */
-export const LONGEST_FATAL_RUN_MS = 5_000 as Ms;
+export const MAX_FATAL_RUN_MS = 5_000 as Ms;
 export const MAX_FATAL_EVENTS = 32;
 
-/** Ends from which a box sends a request on no further within one try: its client may come again, and other boxes hear of it. */
+/**
+ * Number of crashes from which a box no longer retries a request by itself. Its client may still repeat it, and other boxes then
+ * have the crashes on record.
+ */
 export const ENDS_TO_STOP_REPEATS = 2;
 
 /**
- * Ends from which a hub hands them on to all boxes: most requests that were aboard when a server ended have one only, and a full
- * engine has dozens aboard.
+ * Number of crashes of one request from which a hub forwards them to all boxes. Most requests that were running when a server
+ * crashed have only one, and a full engine runs dozens of them.
  */
-export const SHARED_ENDS = 2;
+export const MIN_SHARED_CRASHES = 2;
 
-/** News of which there is none. */
+/** An update without content. */
 export const NO_CRASH_UPDATE: CrashUpdate = { ends: [], served: [] };
 
-/** Form of a digest, wherever one comes from: 128 bits in hexadecimal digits. */
+/** Format of a request digest: 128 bits as hexadecimal digits. */
 export const REQUEST_DIGEST = /^[0-9a-f]{32}$/;
--- a/packages/crashes/src/crashRegistry.test.ts
+++ b/packages/crashes/src/crashRegistry.test.ts
@@ -8,92 +8,95 @@
 const LIMITS = { blockingEnds: 3, memory: 1_000 as Ms };
 const DIGEST = "d" as RequestDigest;
 
-const makeEnd = (server: string, at: number, digest = DIGEST): ServerCrash => ({
+const makeCrash = (server: string, at: number, digest = DIGEST): ServerCrash => ({
   digest,
   server: server as ServerId,
   at: at as Ms,
 });
 
-describe("createEndBook", () => {
-  it("blocks a request at the third server that ends under it, until the first end is too old", () => {
-    const book = createCrashRegistry(LIMITS);
-    expect(book.getStatus(DIGEST, 0 as Ms)).toEqual({ kind: "unsuspected" });
-    book.add(makeEnd("a", 0), 0 as Ms);
-    book.add(makeEnd("b", 100), 100 as Ms);
-    expect(book.getStatus(DIGEST, 100 as Ms)).toEqual({ kind: "suspected", ends: 2 });
-    book.add(makeEnd("c", 200), 200 as Ms);
-    expect(book.getStatus(DIGEST, 200 as Ms)).toEqual({
+describe("createCrashRegistry", () => {
+  it("blocks a request after three servers crashed under it, until the first crash is too old", () => {
+    const registry = createCrashRegistry(LIMITS);
+    expect(registry.getStatus(DIGEST, 0 as Ms)).toEqual({ kind: "unsuspected" });
+    registry.add(makeCrash("a", 0), 0 as Ms);
+    registry.add(makeCrash("b", 100), 100 as Ms);
+    expect(registry.getStatus(DIGEST, 100 as Ms)).toEqual({ kind: "suspected", ends: 2 });
+    registry.add(makeCrash("c", 200), 200 as Ms);
+    expect(registry.getStatus(DIGEST, 200 as Ms)).toEqual({
       kind: "blocked",
       ends: 3,
       left: 800,
     });
-    expect(book.getStatus(DIGEST, 1_000 as Ms)).toEqual({ kind: "suspected", ends: 2 });
+    expect(registry.getStatus(DIGEST, 1_000 as Ms)).toEqual({
+      kind: "suspected",
+      ends: 2,
+    });
   });
 
-  it("counts a server once, and another start of it as another", () => {
-    const book = createCrashRegistry(LIMITS);
-    expect(book.add(makeEnd("a 1", 0), 0 as Ms)).toBe(true);
-    expect(book.add(makeEnd("a 1", 1), 1 as Ms)).toBe(false);
-    expect(book.add(makeEnd("a 2", 2), 2 as Ms)).toBe(true);
-    expect(book.getStatus(DIGEST, 2 as Ms)).toEqual({ kind: "suspected", ends: 2 });
+  it("counts a server once, and a restart of it as another server", () => {
+    const registry = createCrashRegistry(LIMITS);
+    expect(registry.add(makeCrash("a 1", 0), 0 as Ms)).toBe(true);
+    expect(registry.add(makeCrash("a 1", 1), 1 as Ms)).toBe(false);
+    expect(registry.add(makeCrash("a 2", 2), 2 as Ms)).toBe(true);
+    expect(registry.getStatus(DIGEST, 2 as Ms)).toEqual({ kind: "suspected", ends: 2 });
   });
 
-  it("counts servers whose end is not known yet beside those that are known", () => {
-    const book = createCrashRegistry(LIMITS);
-    book.add(makeEnd("a", 0), 0 as Ms);
+  it("counts unconfirmed crashes of servers that are not on record", () => {
+    const registry = createCrashRegistry(LIMITS);
+    registry.add(makeCrash("a", 0), 0 as Ms);
     const besides = new Set(["a", "b"] as ServerId[]);
-    expect(book.getStatus(DIGEST, 0 as Ms, besides)).toEqual({
+    expect(registry.getStatus(DIGEST, 0 as Ms, besides)).toEqual({
       kind: "suspected",
       ends: 2,
     });
   });
 
-  it("forgets a request that is released, and what is told late of the time before", () => {
-    const book = createCrashRegistry(LIMITS);
-    book.add(makeEnd("a", 0), 0 as Ms);
-    expect(book.release(DIGEST, 10 as Ms)).toBe(true);
-    expect(book.release(DIGEST, 11 as Ms)).toBe(false);
-    expect(book.add(makeEnd("b", 10), 20 as Ms)).toBe(false);
-    expect(book.add(makeEnd("c", 11), 20 as Ms)).toBe(true);
+  it("forgets a released request and ignores late reports of crashes before its release", () => {
+    const registry = createCrashRegistry(LIMITS);
+    registry.add(makeCrash("a", 0), 0 as Ms);
+    expect(registry.release(DIGEST, 10 as Ms)).toBe(true);
+    expect(registry.release(DIGEST, 11 as Ms)).toBe(false);
+    expect(registry.add(makeCrash("b", 10), 20 as Ms)).toBe(false);
+    expect(registry.add(makeCrash("c", 11), 20 as Ms)).toBe(true);
   });
 
   /**
-   * Ends that were too old to count stayed in the book: it was never empty again, so every request was hashed, and a request that
-   * ended three servers an hour reached the bound on its ends after some ten hours, from when on it could not be blocked.
+   * If outdated crashes stay on record, the registry is never empty again and every request is hashed. A request that crashes
+   * three servers an hour then reaches the maximum on record after about ten hours and can't be blocked any more.
    */
-  it("forgets ends that are too old, so that a request that ends servers for days is blocked each time", () => {
-    const book = createCrashRegistry(LIMITS);
+  it("forgets outdated crashes, so that a request that crashes servers for days is blocked each time", () => {
+    const registry = createCrashRegistry(LIMITS);
     for (let round = 0; round < 50; round += 1) {
       const now = (round * 2_000) as Ms;
       for (const server of ["a", "b", "c"])
-        expect(book.add(makeEnd(`${server} ${round}`, now), now)).toBe(true);
-      expect(book.getStatus(DIGEST, now).kind).toBe("blocked");
-      expect(book.listEnds(DIGEST)).toHaveLength(3);
+        expect(registry.add(makeCrash(`${server} ${round}`, now), now)).toBe(true);
+      expect(registry.getStatus(DIGEST, now).kind).toBe("blocked");
+      expect(registry.listCrashes(DIGEST)).toHaveLength(3);
     }
   });
 
-  it("is empty again once all ends in it are too old", () => {
-    const book = createCrashRegistry(LIMITS);
+  it("is empty once all crashes on record are too old", () => {
+    const registry = createCrashRegistry(LIMITS);
     const other = "e" as RequestDigest;
-    book.add(makeEnd("a", 0), 0 as Ms);
-    book.add(makeEnd("a", 600, other), 600 as Ms);
-    expect(book.isEmpty(1_000 as Ms)).toBe(false);
-    expect(book.listRequests()).toEqual([other]);
-    expect(book.isEmpty(1_600 as Ms)).toBe(true);
-    expect(book.listRequests()).toEqual([]);
+    registry.add(makeCrash("a", 0), 0 as Ms);
+    registry.add(makeCrash("a", 600, other), 600 as Ms);
+    expect(registry.isEmpty(1_000 as Ms)).toBe(false);
+    expect(registry.listRequests()).toEqual([other]);
+    expect(registry.isEmpty(1_600 as Ms)).toBe(true);
+    expect(registry.listRequests()).toEqual([]);
   });
 
-  it("keeps what is blocked when thousands of others were aboard of servers that ended", () => {
-    const book = createCrashRegistry(LIMITS);
-    for (const server of ["a", "b", "c"]) book.add(makeEnd(server, 0), 0 as Ms);
+  it("keeps a request blocked when thousands of others were running on servers that crashed", () => {
+    const registry = createCrashRegistry(LIMITS);
+    for (const server of ["a", "b", "c"]) registry.add(makeCrash(server, 0), 0 as Ms);
     for (let i = 0; i < 10_000; i += 1)
-      book.add(makeEnd("d", 1, `other ${i}` as RequestDigest), 1 as Ms);
-    expect(book.listRequests().length).toBeLessThanOrEqual(4_096);
-    expect(book.getStatus(DIGEST, 1 as Ms).kind).toBe("blocked");
+      registry.add(makeCrash("d", 1, `other ${i}` as RequestDigest), 1 as Ms);
+    expect(registry.listRequests().length).toBeLessThanOrEqual(4_096);
+    expect(registry.getStatus(DIGEST, 1 as Ms).kind).toBe("blocked");
   });
 
-  it("comes to the same in whatever order ends are told, also twice (property)", () => {
-    const endsOf = fc.array(
+  it("returns the same status for any order of the crashes and for repeated ones (property)", () => {
+    const reports = fc.array(
       fc.record({
         server: fc.integer({ min: 0, max: 5 }),
         at: fc.integer({ max: 500, min: 0 }),
@@ -101,18 +104,22 @@
       { maxLength: 12 },
     );
     fc.assert(
-      fc.property(endsOf, fc.infiniteStream(fc.nat()), (told, order) => {
-        // A server has one end, at one time.
-        const ends = told.map(({ server }) => makeEnd(`s${server}`, server * 10));
-        const shuffled = [...ends, ...ends]
-          .map((end) => ({ end, place: order.next().value as number }))
+      fc.property(reports, fc.infiniteStream(fc.nat()), (reported, order) => {
+        // A server crashes once, at one time.
+        const crashes = reported.map(({ server }) =>
+          makeCrash(`s${server}`, server * 10),
+        );
+        const shuffled = [...crashes, ...crashes]
+          .map((crash) => ({ crash, place: order.next().value as number }))
           .sort((a, b) => a.place - b.place);
-        const judge = (all: readonly ServerCrash[]) => {
-          const book = createCrashRegistry(LIMITS);
-          for (const end of all) book.add(end, 500 as Ms);
-          return book.getStatus(DIGEST, 500 as Ms);
+        const getStatusOf = (all: readonly ServerCrash[]) => {
+          const registry = createCrashRegistry(LIMITS);
+          for (const crash of all) registry.add(crash, 500 as Ms);
+          return registry.getStatus(DIGEST, 500 as Ms);
         };
-        expect(judge(shuffled.map(({ end }) => end))).toEqual(judge(ends));
+        expect(getStatusOf(shuffled.map(({ crash }) => crash))).toEqual(
+          getStatusOf(crashes),
+        );
       }),
     );
   });
--- a/packages/crashes/src/crashRegistry.ts
+++ b/packages/crashes/src/crashRegistry.ts
@@ -1,91 +1,97 @@
-/** Which servers ended under which requests, in bounded memory. Pure but for the time handed in. */
+/** Records which servers crashed under which requests, in bounded memory. Pure: the time is passed in. */
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { RequestDigest, ServerCrash, RequestStatus } from "./types.js";
 
-/** From when on a request is kept from servers, and how long ends count. */
+/** When a request is blocked, and how long crashes count. */
 export type CrashLimits = Readonly<{
-  /** Servers that have to end under a request. */
+  /** Number of servers that must have crashed under a request before it is blocked. */
   blockingEnds: number;
-  /** How long an end counts. */
+  /** How long a crash counts. */
   memory: Ms;
 }>;
 
-/** The book of one box. */
+/** The crashes that one box has on record. */
 export type CrashRegistry = Readonly<{
-  /** Takes an end; false when it is known, too old, or happened before the request was released. */
-  add: (end: ServerCrash, now: Ms) => boolean;
-  /** Forgets the ends of a request, also those that are told late; false when none is known. */
+  /** Adds a crash; returns false when it is already on record, too old, or happened before the request was released. */
+  add: (crash: ServerCrash, now: Ms) => boolean;
+  /** Removes the crashes of a request and ignores later reports of earlier ones; returns false when none is on record. */
   release: (digest: RequestDigest, now: Ms) => boolean;
-  /** Judges by what is known; `besides` are servers whose end is not known yet. */
+  /** Returns the status by the crashes on record; `unconfirmed` are servers that broke off and may have crashed. */
   getStatus: (
     digest: RequestDigest,
     now: Ms,
-    besides?: ReadonlySet<ServerId>,
+    unconfirmed?: ReadonlySet<ServerId>,
   ) => RequestStatus;
-  listEnds: (digest: RequestDigest) => readonly ServerCrash[];
+  listCrashes: (digest: RequestDigest) => readonly ServerCrash[];
   listRequests: () => readonly RequestDigest[];
-  /** Whether no end in it counts any more. */
+  /** Returns whether no crash on record counts any more. */
   isEmpty: (now: Ms) => boolean;
 }>;
 
-/** Requests that are kept: a full engine that ends puts some 50 into the book, each in less than 300 bytes. */
+/** Maximum number of requests on record. The crash of a full engine adds about 50, each of less than 300 bytes. */
 const MAX_REQUESTS = 4_096;
 
-/** Ends of one request beyond which no further one changes anything. */
-const MAX_ENDS = 32;
+/** Maximum number of crashes on record for one request; further ones would not change its status. */
+const MAX_CRASHES_PER_REQUEST = 32;
 
 const UNSUSPECTED: RequestStatus = { kind: "unsuspected" };
 
-/** Creates an empty book. */
+/** Creates an empty registry. */
 export const createCrashRegistry = ({
   blockingEnds,
   memory,
 }: CrashLimits): CrashRegistry => {
-  /** In the order in which they were last added to. */
-  const ends = new Map<RequestDigest, ReadonlyMap<ServerId, ServerCrash>>();
+  /** Ordered by the time of the last addition. */
+  const crashes = new Map<RequestDigest, ReadonlyMap<ServerId, ServerCrash>>();
   const releasedAt = new Map<RequestDigest, Ms>();
 
-  const listEnds = (digest: RequestDigest) => [...(ends.get(digest)?.values() ?? [])];
+  const listCrashes = (digest: RequestDigest) => [
+    ...(crashes.get(digest)?.values() ?? []),
+  ];
   const listCounting = (digest: RequestDigest, now: Ms) =>
-    listEnds(digest).filter(({ at }) => now - at < memory);
-  /** Drops requests of which no end counts any more; those behind the first that has one were added to later. */
+    listCrashes(digest).filter(({ at }) => now - at < memory);
+  /** Removes requests without a crash that counts. Stops at the first that has one: the requests after it were updated later. */
   const dropOutdated = (now: Ms) => {
-    for (const digest of ends.keys()) {
+    for (const digest of crashes.keys()) {
       if (listCounting(digest, now).length > 0) return;
-      ends.delete(digest);
+      crashes.delete(digest);
     }
   };
 
-  const dropOldest = (kept: Map<RequestDigest, unknown>) => {
-    const [oldest] = kept.keys();
-    if (oldest !== undefined) kept.delete(oldest);
+  const dropOldest = (entries: Map<RequestDigest, unknown>) => {
+    const [oldest] = entries.keys();
+    if (oldest !== undefined) entries.delete(oldest);
   };
-  /** A request that was aboard once gives way before one that is blocked. */
+  /** Removes the oldest request with too few crashes to be blocked, or the oldest of all if there is none. */
   const dropLeastSuspect = () => {
-    for (const [digest, known] of ends) {
+    for (const [digest, known] of crashes) {
       if (known.size >= blockingEnds) continue;
-      ends.delete(digest);
+      crashes.delete(digest);
       return;
     }
-    dropOldest(ends);
+    dropOldest(crashes);
   };
 
-  const add = (end: ServerCrash, now: Ms): boolean => {
-    const { digest, server, at } = end;
+  const add = (crash: ServerCrash, now: Ms): boolean => {
+    const { digest, server, at } = crash;
     const known = new Map(listCounting(digest, now).map((one) => [one.server, one]));
-    if (known.has(server) || known.size >= MAX_ENDS) return false;
+    if (known.has(server) || known.size >= MAX_CRASHES_PER_REQUEST) return false;
     if (now - at >= memory || at <= (releasedAt.get(digest) ?? -Infinity)) return false;
-    ends.delete(digest);
-    ends.set(digest, known.set(server, end));
-    if (ends.size > MAX_REQUESTS) dropLeastSuspect();
+    crashes.delete(digest);
+    crashes.set(digest, known.set(server, crash));
+    if (crashes.size > MAX_REQUESTS) dropLeastSuspect();
     return true;
   };
 
-  const getStatus: CrashRegistry["getStatus"] = (digest, now, besides = new Set()) => {
+  const getStatus: CrashRegistry["getStatus"] = (
+    digest,
+    now,
+    unconfirmed = new Set(),
+  ) => {
     const counting = listCounting(digest, now);
-    const unknown = [...besides].filter((id) => !ends.get(digest)?.has(id)).length;
-    const count = counting.length + unknown;
+    const added = [...unconfirmed].filter((id) => !crashes.get(digest)?.has(id)).length;
+    const count = counting.length + added;
     if (counting.length >= blockingEnds) {
       const times = counting.map(({ at }) => at).sort((a, b) => b - a);
       const left = (times[blockingEnds - 1]! + memory - now) as Ms;
@@ -97,18 +103,18 @@
   return {
     add,
     release: (digest, now) => {
-      if (!ends.delete(digest)) return false;
+      if (!crashes.delete(digest)) return false;
       releasedAt.delete(digest);
       releasedAt.set(digest, now);
       if (releasedAt.size > MAX_REQUESTS) dropOldest(releasedAt);
       return true;
     },
     getStatus,
-    listEnds,
-    listRequests: () => [...ends.keys()],
+    listCrashes,
+    listRequests: () => [...crashes.keys()],
     isEmpty: (now) => {
       dropOutdated(now);
-      return ends.size === 0;
+      return crashes.size === 0;
     },
   };
 };
--- a/packages/crashes/src/hashRequest.test.ts
+++ b/packages/crashes/src/hashRequest.test.ts
@@ -9,7 +9,7 @@
 };
 
 describe("hashRequest", () => {
-  it("is the same for a request that comes again, whatever else it carries", () => {
+  it("returns the same digest for a repeated request", () => {
     const again = { ...REQUEST, body: Buffer.from("text") };
     expect(hashRequest(again)).toBe(hashRequest(REQUEST));
     expect(hashRequest(REQUEST)).toMatch(/^[0-9a-f]{32}$/);
@@ -20,13 +20,13 @@
     ["path", { target: "/verdict/2?a=b" }],
     ["query", { target: "/verdict/1?a=c" }],
     ["caller", { caller: "other" }],
-    ["lack of a caller", { caller: undefined }],
+    ["caller (none)", { caller: undefined }],
     ["body", { body: Buffer.from("texts") }],
-  ])("tells requests apart by their %s", (_, change) => {
+  ])("returns another digest for another %s", (_, change) => {
     expect(hashRequest({ ...REQUEST, ...change })).not.toBe(hashRequest(REQUEST));
   });
 
-  it("keeps the parts apart where they touch", () => {
+  it("returns different digests when text moves from the caller to the body", () => {
     const head = { ...REQUEST, caller: "w", body: Buffer.from('"]x') };
     const moved = { ...REQUEST, caller: 'w"]', body: Buffer.from("x") };
     expect(hashRequest(head)).not.toBe(hashRequest(moved));
--- a/packages/crashes/src/hashRequest.ts
+++ b/packages/crashes/src/hashRequest.ts
@@ -1,21 +1,21 @@
-/** The identity of a request across its tries: its path, its caller and its body. Pure. */
+/** Identifies a request across its attempts by its host, path, caller and body. Pure. */
 import { createHash } from "node:crypto";
 import type { RequestDigest } from "./types.js";
 
-/** 128 bits: two of the requests that a fleet gets in a year share a digest by chance with a probability below 1e-15. */
+/** 128 bits: the probability that two of a fleet's requests in a year share a digest by chance is below 1e-15. */
 const DIGEST_HEX_DIGITS = 32;
 
-/** What makes two requests the same. */
+/** The parts of a request that identify it. */
 export type RequestContent = Readonly<{
   host: string;
   /** Path and query, byte for byte. */
   target: string;
-  /** The workspace whose key the request carries; undefined where the route needs none. */
+  /** The workspace whose key the request carries; undefined if the route needs no key. */
   caller: string | undefined;
   body: Buffer;
 }>;
 
-/** Computes the digest; 7 µs for a body of 3 kB on one core, mean of 100,000. */
+/** Computes the digest. Takes 7 µs for a body of 3 kB on one core (mean of 100,000). */
 export const hashRequest = ({
   host,
   target,
--- a/packages/crashes/src/index.ts
+++ b/packages/crashes/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests under which backend servers end: who is the same request, how often, and what follows. */
+/** Detects requests that crash backend servers, and blocks them. */
 export type * from "./types.js";
 export {
   ENDS_TO_STOP_REPEATS,
--- a/packages/crashes/src/mayHaveEnded.ts
+++ b/packages/crashes/src/mayHaveEnded.ts
@@ -1,15 +1,15 @@
-/** Whether a request can be what ended its server. Pure. */
+/** Decides whether a request can have crashed its server. Pure. */
 import type { Ms } from "@stairgauge/common";
-import { LONGEST_FATAL_RUN_MS, MAX_FATAL_EVENTS } from "./constants.js";
+import { MAX_FATAL_RUN_MS, MAX_FATAL_EVENTS } from "./constants.js";
 
-/** How far a request had come when its server ended. */
+/** The progress of a request when its server broke it off. */
 export type BrokenRun = Readonly<{
-  /** Time since the server began to answer it; none where it had not. */
+  /** Time since the server began to answer; undefined if it had not begun. */
   ranFor: Ms | undefined;
-  /** Events that the server had made of it. */
+  /** Number of events that the server had sent for the request. */
   events: number;
 }>;
 
-/** A request that was well under way was only aboard. */
+/** Returns whether the request had only just begun. One that had run for longer did not cause the crash. */
 export const mayHaveEnded = ({ ranFor, events }: BrokenRun): boolean =>
-  (ranFor ?? 0) <= LONGEST_FATAL_RUN_MS && events <= MAX_FATAL_EVENTS;
+  (ranFor ?? 0) <= MAX_FATAL_RUN_MS && events <= MAX_FATAL_EVENTS;
--- a/packages/crashes/src/requestGuard.test.ts
+++ b/packages/crashes/src/requestGuard.test.ts
@@ -1,7 +1,6 @@
 /**
- * The ends of one request were seen by several boxes, of which none saw three: each has to tell the others, over whatever links
- * there are, so that all of them together send the request to at most three servers more once the time in which boxes come to
- * know of each other has passed.
+ * Guards against a request that is never blocked because no box sees three of its crashes itself. Boxes share their crashes over
+ * the links that they have. Once updates have had time to reach all boxes, they may send the request to at most three more servers.
  */
 import { describe, expect, it } from "vitest";
 import fc from "fast-check";
@@ -24,7 +23,7 @@
 const getDigest = () => DIGEST;
 const LIMITS = { blockingEnds: 3, memory: 3_600_000 as Ms };
 
-const createOne = (
+const createGuard = (
   clock: Clock,
   more: Partial<Parameters<typeof createRequestGuard>[0]> = {},
 ) => {
@@ -42,27 +41,27 @@
   return { guard, blocked, released };
 };
 
-const recordEnds = (guard: RequestGuard, servers: readonly string[]) =>
+const recordCrashes = (guard: RequestGuard, servers: readonly string[]) =>
   servers.forEach((server) =>
     guard.recordCrash({ digest: DIGEST, server: server as ServerId }),
   );
 
 describe("createRequestGuard", () => {
-  it("asks for no digest while nothing is suspected", () => {
-    const { guard } = createOne(createVirtualClock());
+  it("computes no digest while nothing is suspected", () => {
+    const { guard } = createGuard(createVirtualClock());
     const fail = () => {
-      throw new Error("asked");
+      throw new Error("the digest was computed");
     };
     expect(guard.getStatus(fail)).toEqual({ kind: "unsuspected" });
     guard.recordServed(fail);
   });
 
-  it("says once that a request is blocked, with what it rests on", () => {
+  it("reports a blocked request once, with its crashes", () => {
     const clock = createVirtualClock();
-    const { guard, blocked } = createOne(clock);
-    recordEnds(guard, ["a", "b"]);
+    const { guard, blocked } = createGuard(clock);
+    recordCrashes(guard, ["a", "b"]);
     clock.advance(50 as Ms);
-    recordEnds(guard, ["c", "d"]);
+    recordCrashes(guard, ["c", "d"]);
     expect(blocked).toEqual([
       {
         digest: DIGEST,
@@ -77,22 +76,22 @@
     ]);
   });
 
-  it("trusts a request that a server has served, and tells it", () => {
-    const told: CrashUpdate[] = [];
-    const { guard, released } = createOne(createVirtualClock(), {
-      onOwnUpdate: (news) => told.push(news),
+  it("releases a request that a server has completed, and shares that", () => {
+    const updates: CrashUpdate[] = [];
+    const { guard, released } = createGuard(createVirtualClock(), {
+      onOwnUpdate: (update) => updates.push(update),
     });
-    recordEnds(guard, ["a", "b", "c"]);
+    recordCrashes(guard, ["a", "b", "c"]);
     guard.recordServed(getDigest);
     expect(guard.getStatus(getDigest)).toEqual({ kind: "unsuspected" });
     expect(released).toEqual([DIGEST]);
-    expect(told.at(-1)).toEqual({ ends: [], served: [DIGEST] });
+    expect(updates.at(-1)).toEqual({ ends: [], served: [DIGEST] });
   });
 
-  it("takes the ends that others tell at their own times", () => {
+  it("counts crashes shared by other boxes from the times they happened", () => {
     const clock = createVirtualClock();
     clock.advance(10_000 as Ms);
-    const { guard } = createOne(clock);
+    const { guard } = createGuard(clock);
     const ends = ["a", "b", "c"].map((server, i) => ({
       digest: DIGEST,
       server: server as ServerId,
@@ -104,84 +103,88 @@
   });
 });
 
-const CONTACT_MS = 3_000;
-const TRY_PAUSE_MS = 50;
-const ARRIVALS_ALLOWED = 3;
+const PROPAGATION_MS = 3_000;
+const ATTEMPT_INTERVAL_MS = 50;
+const MAX_LATE_ATTEMPTS = 3;
 
-type World = Readonly<{
+type Scenario = Readonly<{
   seed: number;
   boxes: number;
-  /** Boxes linked to by all others; none where all are linked to each other. */
+  /** Number of boxes that all others are linked to; 0 if all boxes are linked to each other. */
   hubs: number;
-  /** A hub that is lost when two servers have ended; the next box takes its place 1.2 s later. */
+  /** Whether a hub fails after two crashes. Another box replaces it 1.2 s later. */
   isHubLost: boolean;
 }>;
 
-/** Tries of one request at boxes in turn, each of which ends the server that it reaches 30 ms later; counts what reaches servers. */
-const runTries = ({ seed, boxes, hubs, isHubLost }: World) => {
-  const world = createVirtualClock();
+/**
+ * Sends attempts of one request to random boxes. Each attempt that is let through crashes a server 30 ms later. Counts the crashes,
+ * and the attempts let through when the third crash should be on record at all boxes.
+ */
+const runAttempts = ({ seed, boxes, hubs, isHubLost }: Scenario) => {
+  const clock = createVirtualClock();
   const random = createSeededRandom(seed);
   const computeDelay = () => random.nextInt(1, 40) as Ms;
   let lostHub = -1;
   let hubNames = new Set(Array.from({ length: hubs }, (_, i) => i));
 
   const guards: readonly RequestGuard[] = Array.from({ length: boxes }, (_, own) => {
-    const sendTo = (box: number, news: CrashUpdate) => {
+    const sendTo = (box: number, update: CrashUpdate) => {
       if (box === own || box === lostHub || own === lostHub) return;
-      world.setTimer(computeDelay(), () => guards[box]!.applyUpdate(news));
+      clock.setTimer(computeDelay(), () => guards[box]!.applyUpdate(update));
     };
     const listLinked = () =>
       hubs === 0 ? guards.map((_guard, box) => box) : [...hubNames];
-    return createOne(world, {
-      onOwnUpdate: (news) => listLinked().forEach((box) => sendTo(box, news)),
-      onSharedUpdate: (news) => {
-        if (hubNames.has(own)) guards.forEach((_guard, box) => sendTo(box, news));
+    return createGuard(clock, {
+      onOwnUpdate: (update) => listLinked().forEach((box) => sendTo(box, update)),
+      onSharedUpdate: (update) => {
+        if (hubNames.has(own)) guards.forEach((_guard, box) => sendTo(box, update));
       },
     }).guard;
   });
   const replaceHub = () => {
     lostHub = 0;
-    world.setTimer(1_200 as Ms, () => {
+    clock.setTimer(1_200 as Ms, () => {
       hubNames = new Set([...hubNames].filter((box) => box !== lostHub).concat(hubs));
-      // A link that has come up begins with all that its box knows.
+      // A new link begins with all crashes that its box has on record.
       guards.forEach((guard) => guards[hubs]!.applyUpdate(guard.makeFullUpdate()));
     });
   };
 
-  let ends = 0;
+  let crashes = 0;
   let thirdAt: number | undefined;
-  let lateArrivals = 0;
+  let lateAttempts = 0;
   const attempt = (box: number) => {
     const guard = guards[box]!;
     if (box === lostHub || guard.getStatus(getDigest).kind === "blocked") return;
-    if (thirdAt !== undefined && world.now() - thirdAt > CONTACT_MS) lateArrivals += 1;
-    world.setTimer(30 as Ms, () => {
-      ends += 1;
-      if (ends === 3) thirdAt = world.now();
-      if (ends === 2 && isHubLost) replaceHub();
-      const server = `s${ends}` as ServerId;
+    if (thirdAt !== undefined && clock.now() - thirdAt > PROPAGATION_MS)
+      lateAttempts += 1;
+    clock.setTimer(30 as Ms, () => {
+      crashes += 1;
+      if (crashes === 3) thirdAt = clock.now();
+      if (crashes === 2 && isHubLost) replaceHub();
+      const server = `s${crashes}` as ServerId;
       guard.recordCrash({ digest: DIGEST, server });
     });
   };
-  for (let at = 0; at < 12_000; at += TRY_PAUSE_MS)
-    world.setTimer(at as Ms, () => attempt(random.nextInt(0, boxes - 1)));
-  world.advance(12_000 as Ms);
+  for (let at = 0; at < 12_000; at += ATTEMPT_INTERVAL_MS)
+    clock.setTimer(at as Ms, () => attempt(random.nextInt(0, boxes - 1)));
+  clock.advance(12_000 as Ms);
   return {
-    lateArrivals,
-    ends,
-    known: guards.map((guard) => guard.getStatus(getDigest).kind),
+    lateAttempts,
+    crashes,
+    statuses: guards.map((guard) => guard.getStatus(getDigest).kind),
   };
 };
 
-describe("boxes that count the ends of one request together", () => {
+describe("boxes that share the crashes of one request", () => {
   it.each<[number, number]>([
     [6, 0],
     [12, 0],
     [64, 4],
     [195, 5],
     [473, 12],
-  ])("keep it from servers in time: %i boxes, %i hubs (property)", (boxes, hubs) => {
-    const world = fc.record({
+  ])("block it in time: %i boxes, %i hubs (property)", (boxes, hubs) => {
+    const scenarios = fc.record({
       seed: fc.integer(),
       boxes: fc.constant(boxes),
       hubs: fc.constant(hubs),
@@ -190,17 +193,17 @@
         .chain((may) => (may ? fc.boolean() : fc.constant(false))),
     });
     fc.assert(
-      fc.property(world, (one) => {
-        const { lateArrivals } = runTries(one);
-        expect(lateArrivals).toBeLessThanOrEqual(ARRIVALS_ALLOWED);
+      fc.property(scenarios, (scenario) => {
+        const { lateAttempts } = runAttempts(scenario);
+        expect(lateAttempts).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
       }),
       { numRuns: boxes > 100 ? 5 : 20, seed: 7 },
     );
   });
 
-  it("have few servers ended where a try comes each 50 ms and links take 40 ms", () => {
-    const world = { seed: 1, boxes: 64, hubs: 4, isHubLost: false };
-    // Three, and one or two that were sent before the third end was known everywhere.
-    expect(runTries(world).ends).toBeLessThanOrEqual(5);
+  it("lose at most five servers when an attempt comes every 50 ms and links take up to 40 ms", () => {
+    const scenario = { seed: 1, boxes: 64, hubs: 4, isHubLost: false };
+    // Three, and one or two that were sent before all boxes had the third crash on record.
+    expect(runAttempts(scenario).crashes).toBeLessThanOrEqual(5);
   });
 });
--- a/packages/crashes/src/requestGuard.ts
+++ b/packages/crashes/src/requestGuard.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps requests that end servers from further ones. The ends of one request are seen by several boxes, so each tells its own and
- * counts those of all. Evidence travels over the links between boxes; what is blocked is listed in the store as well, since boxes
- * keep nothing and may all be restarted.
+ * Blocks requests that crash servers. Several boxes each see some of a request's crashes, so each box shares its own and counts
+ * those of all boxes. Crashes are shared over the links between boxes. Blocked requests are also listed in the store, since boxes
+ * persist nothing and may all restart.
  */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { SHARED_ENDS } from "./constants.js";
+import { MIN_SHARED_CRASHES } from "./constants.js";
 import { createCrashRegistry, type CrashLimits } from "./crashRegistry.js";
 import type {
   CrashUpdate,
@@ -15,114 +15,119 @@
   SharedCrash,
 } from "./types.js";
 
-/** A request that goes to no server from now on. */
+/** A request that has just been blocked. */
 export type BlockedRequest = Readonly<{
   digest: RequestDigest;
   ends: readonly SharedCrash[];
   left: Ms;
-  /** Whether this box saw the end that decided it. */
+  /** Whether this box saw the crash that led to the block. */
   isOwn: boolean;
 }>;
 
-/** Who hears of changes. */
+/** The settings and the callbacks for changes. */
 export type RequestGuardOptions = Readonly<{
   clock: Clock;
   limits: CrashLimits;
-  /** This box has seen an end, or a request served: other boxes are to hear it. */
-  onOwnUpdate: (news: CrashUpdate) => void;
+  /** This box has seen a crash, or a request completed. The update is to be sent to other boxes. */
+  onOwnUpdate: (update: CrashUpdate) => void;
   /**
-   * What is known of some requests has changed, whoever said so: all that boxes which hear this one alone need. A single end
-   * is no news to them.
+   * Shared crashes have changed, whichever box saw the cause. The update is complete for boxes that get updates from this box only.
+   * It leaves out requests with a single crash.
    */
-  onSharedUpdate: (news: CrashUpdate) => void;
+  onSharedUpdate: (update: CrashUpdate) => void;
   onBlocked: (blocked: BlockedRequest) => void;
-  /** A request is trusted again: a server has served it, or an operator says so. */
+  /** A request is no longer blocked: a server of this box completed it (`isOwn`), or another box or an operator released it. */
   onReleased: (digest: RequestDigest, isOwn: boolean) => void;
 }>;
 
-/** An end that this box has seen, of a server that the request may have ended. */
+/** A crash that this box has seen, of a server that the request may have crashed. */
 export type ObservedCrash = Pick<ServerCrash, "digest" | "server">;
 
-/** The guard of one box. */
+/** Records crashes and decides which requests are blocked, for one box. */
 export type RequestGuard = Readonly<{
-  /** Judges a request; its digest is asked for only where any request is suspected. */
+  /**
+   * Returns the status of a request. Computes its digest only if any request is suspected. `unconfirmed` are servers that broke
+   * off and may have crashed.
+   */
   getStatus: (
     getDigest: () => RequestDigest,
-    besides?: ReadonlySet<ServerId>,
+    unconfirmed?: ReadonlySet<ServerId>,
   ) => RequestStatus;
-  /** A server has ended under a request of this box. */
-  recordCrash: (seen: ObservedCrash) => void;
-  /** A server has served a request of this box to a good end. */
+  /** Records that a server crashed under a request of this box. */
+  recordCrash: (observed: ObservedCrash) => void;
+  /** Records that a server completed a request of this box. */
   recordServed: (getDigest: () => RequestDigest) => void;
-  /** Another box, or the store, tells. */
-  applyUpdate: (news: CrashUpdate) => void;
-  /** An operator trusts a request again. */
+  /** Applies an update from another box or from the store. */
+  applyUpdate: (update: CrashUpdate) => void;
+  /** Releases a request on behalf of an operator. */
   release: (digest: RequestDigest) => void;
-  /** All that is known, for a box that counts the ends of all. */
+  /** Lists all crashes on record, for a box that counts the crashes of all boxes. */
   makeFullUpdate: () => CrashUpdate;
-  /** What is known of requests with several ends, for a box that counts its own alone. */
+  /** Lists the crashes of requests with several of them, for a box that otherwise counts its own only. */
   makeSharedUpdate: () => CrashUpdate;
   countBlocked: () => number;
 }>;
 
-/** Creates a guard that suspects nothing. */
+/** Creates a guard without crashes on record. */
 export const createRequestGuard = (options: RequestGuardOptions): RequestGuard => {
   const { clock, limits, onOwnUpdate, onSharedUpdate, onBlocked, onReleased } = options;
-  const book = createCrashRegistry(limits);
+  const registry = createCrashRegistry(limits);
   const getNow = () => clock.monotonic();
   const isBlocked = (digest: RequestDigest) =>
-    book.getStatus(digest, getNow()).kind === "blocked";
+    registry.getStatus(digest, getNow()).kind === "blocked";
 
-  const toTold = ({ digest, server, at }: ServerCrash): SharedCrash => ({
+  const toShared = ({ digest, server, at }: ServerCrash): SharedCrash => ({
     digest,
     server,
     age: Math.max(0, getNow() - at) as Ms,
   });
-  const listTold = (digest: RequestDigest) => book.listEnds(digest).map(toTold);
+  const listCrashes = (digest: RequestDigest) =>
+    registry.listCrashes(digest).map(toShared);
 
-  const add = (end: ServerCrash, isOwn: boolean): boolean => {
-    const { digest } = end;
+  const add = (crash: ServerCrash, isOwn: boolean): boolean => {
+    const { digest } = crash;
     const wasBlocked = isBlocked(digest);
-    if (!book.add(end, getNow())) return false;
-    const standing = book.getStatus(digest, getNow());
-    if (!wasBlocked && standing.kind === "blocked")
-      onBlocked({ digest, ends: listTold(digest), left: standing.left, isOwn });
+    if (!registry.add(crash, getNow())) return false;
+    const status = registry.getStatus(digest, getNow());
+    if (!wasBlocked && status.kind === "blocked")
+      onBlocked({ digest, ends: listCrashes(digest), left: status.left, isOwn });
     return true;
   };
   const release = (digest: RequestDigest, isOwn: boolean): boolean => {
     const wasBlocked = isBlocked(digest);
-    if (!book.release(digest, getNow())) return false;
+    if (!registry.release(digest, getNow())) return false;
     if (wasBlocked) onReleased(digest, isOwn);
     return true;
   };
-  const isShared = (digest: RequestDigest) => book.listEnds(digest).length >= SHARED_ENDS;
-  const listShared = (digests: Iterable<RequestDigest>) =>
-    [...digests].filter(isShared).flatMap(listTold);
-  const tellShared = (news: CrashUpdate) => {
-    if (news.ends.length + news.served.length > 0) onSharedUpdate(news);
+  const isShared = (digest: RequestDigest) =>
+    registry.listCrashes(digest).length >= MIN_SHARED_CRASHES;
+  const listSharedCrashes = (digests: Iterable<RequestDigest>) =>
+    [...digests].filter(isShared).flatMap(listCrashes);
+  const sendShared = (update: CrashUpdate) => {
+    if (update.ends.length + update.served.length > 0) onSharedUpdate(update);
   };
 
   return {
-    getStatus: (getDigest, besides) => {
-      const isKnown = !book.isEmpty(getNow()) || (besides?.size ?? 0) > 0;
-      return isKnown
-        ? book.getStatus(getDigest(), getNow(), besides)
+    getStatus: (getDigest, unconfirmed) => {
+      const isAnySuspected = !registry.isEmpty(getNow()) || (unconfirmed?.size ?? 0) > 0;
+      return isAnySuspected
+        ? registry.getStatus(getDigest(), getNow(), unconfirmed)
         : { kind: "unsuspected" };
     },
     recordCrash: ({ digest, server }) => {
-      const end = { digest, server, at: getNow() };
-      if (!add(end, true)) return;
-      onOwnUpdate({ ends: [toTold(end)], served: [] });
-      tellShared({ ends: listShared([digest]), served: [] });
+      const crash = { digest, server, at: getNow() };
+      if (!add(crash, true)) return;
+      onOwnUpdate({ ends: [toShared(crash)], served: [] });
+      sendShared({ ends: listSharedCrashes([digest]), served: [] });
     },
     recordServed: (getDigest) => {
-      if (book.isEmpty(getNow())) return;
+      if (registry.isEmpty(getNow())) return;
       const digest = getDigest();
       const wasShared = isShared(digest);
       if (!release(digest, true)) return;
-      const news = { ends: [], served: [digest] };
-      onOwnUpdate(news);
-      if (wasShared) tellShared(news);
+      const update = { ends: [], served: [digest] };
+      onOwnUpdate(update);
+      if (wasShared) sendShared(update);
     },
     applyUpdate: ({ ends, served }) => {
       const sharedBefore = new Set(served.filter(isShared));
@@ -130,14 +135,20 @@
       const added = ends.filter(({ digest, server, age }) =>
         add({ digest, server, at: (getNow() - age) as Ms }, false),
       );
-      tellShared({
-        ends: listShared(new Set(added.map(({ digest }) => digest))),
+      sendShared({
+        ends: listSharedCrashes(new Set(added.map(({ digest }) => digest))),
         served: released.filter((digest) => sharedBefore.has(digest)),
       });
     },
     release: (digest) => void release(digest, false),
-    makeFullUpdate: () => ({ ends: book.listRequests().flatMap(listTold), served: [] }),
-    makeSharedUpdate: () => ({ ends: listShared(book.listRequests()), served: [] }),
-    countBlocked: () => book.listRequests().filter(isBlocked).length,
+    makeFullUpdate: () => ({
+      ends: registry.listRequests().flatMap(listCrashes),
+      served: [],
+    }),
+    makeSharedUpdate: () => ({
+      ends: listSharedCrashes(registry.listRequests()),
+      served: [],
+    }),
+    countBlocked: () => registry.listRequests().filter(isBlocked).length,
   };
 };
--- a/packages/crashes/src/types.ts
+++ b/packages/crashes/src/types.ts
@@ -1,34 +1,34 @@
-/** Requests under which backend servers ended, as boxes know and tell them. */
+/** Types for requests under which backend servers crashed, as boxes record and share them. */
 import type { Brand, Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 
-/** What stays the same of a request that comes again under another id, at any box: a digest, so that no content is kept. */
+/** Identifies a request that is sent again under another id, at any box. A digest, so that no content is kept. */
 export type RequestDigest = Brand<string, "RequestDigest">;
 
-/** A server ended while it worked on a request. */
+/** A crash of a server while it ran a request. */
 export type ServerCrash = Readonly<{
   digest: RequestDigest;
   server: ServerId;
-  /** On the steady clock of the box that keeps it. */
+  /** By the monotonic clock of the box that has it on record. */
   at: Ms;
 }>;
 
-/** The same as one box tells it to another, whose steady clock is another one. */
+/** A crash as boxes share it. It carries an age, since boxes have different monotonic clocks. */
 export type SharedCrash = Readonly<{ digest: RequestDigest; server: ServerId; age: Ms }>;
 
-/** What one box tells others of such requests. */
+/** Crashes, and requests that are no longer suspected, as one box sends them to others. */
 export type CrashUpdate = Readonly<{
   ends: readonly SharedCrash[];
-  /** Requests that a server has served since: it was not they that ended the servers. */
+  /** Requests that a server has since completed, so they did not cause the crashes. */
   served: readonly RequestDigest[];
 }>;
 
-/** How a request stands. */
+/** Whether a request may be sent to servers; `ends` is the number of crashes. */
 export type RequestStatus = Readonly<
-  /** No server is known to have ended under it. */
+  /** No server is on record as having crashed under the request. */
   | { kind: "unsuspected" }
-  /** It may have been aboard by chance: it is served, but not sent on by the box itself once two servers have ended. */
+  /** It may have been running by chance: it is still sent to servers, but not retried by the box after two crashes. */
   | { kind: "suspected"; ends: number }
-  /** It goes to no server. */
+  /** It is sent to no server for the time `left`. */
   | { kind: "blocked"; ends: number; left: Ms }
 >;
