--- a/packages/migration/src/index.ts
+++ b/packages/migration/src/index.ts
@@ -1,4 +1,4 @@
-/** Runs that outlive their engine. */
+/** Moves runs to other engines when their engine leaves. */
 export type * from "./types.js";
 export { createRunMover } from "./runMover.js";
 export type { MoveDecision, RunMover, RunMoverDeps } from "./runMover.js";
--- a/packages/migration/src/listExposed.ts
+++ b/packages/migration/src/listExposed.ts
@@ -1,24 +1,29 @@
 /**
- * The runs that an engine's link could not copy between its notice and its end. Pure.
- * Every box works it out from the same runs, so each keeps a standby copy for its own among them.
+ * Lists the runs that an engine's link could not copy between its announcement that it leaves and its end. Pure. Every box computes
+ * the list from the same runs, and keeps standby copies of its own runs in it.
  */
 import type { RunToMove } from "@stairgauge/placement";
-import { computeCopyTime, FAR_FACTOR, NOTICE_MS, type CopyLink } from "./copyTime.js";
+import {
+  computeCopyTime,
+  FAR_COPY_FACTOR,
+  LEAVING_NOTICE_MS,
+  type CopyLink,
+} from "./copyTime.js";
 
-/** What is known of one engine. */
+/** The runs and the link of one engine. */
 export type ExposureInputs = Readonly<{
-  /** In the order in which they would be moved; those that have a copy elsewhere are not among them. */
+  /** In the order in which they would be moved, without those that already have a copy elsewhere. */
   runs: readonly RunToMove[];
   link: CopyLink;
 }>;
 
-/** Lists the ids of those that come too late. */
+/** Lists the ids of the runs that could not be copied in time. */
 export const listExposed = ({ runs, link }: ExposureInputs): readonly string[] => {
   let time = 0;
   return runs
     .filter((run) => {
-      time += FAR_FACTOR * computeCopyTime(run.tokensInMemory, link);
-      return time > NOTICE_MS;
+      time += FAR_COPY_FACTOR * computeCopyTime(run.tokensInMemory, link);
+      return time > LEAVING_NOTICE_MS;
     })
     .map(({ id }) => id);
 };
--- a/packages/migration/src/listRunsToMove.ts
+++ b/packages/migration/src/listRunsToMove.ts
@@ -1,12 +1,12 @@
-/** The runs that boxes will move from a leaving engine, in the order in which they do. Pure. */
+/** Lists the runs to move from a leaving engine, in the order of their moves. Pure. */
 import type { EngineReport, PlacedRun, RunToMove } from "@stairgauge/placement";
 
-/** Tokens of an event; from the users' sites. */
+/** Tokens per event at the users' sites. */
 const TOKENS_PER_EVENT = 4;
 
 /**
- * A run that is expected to make fewer tokens than this will probably end before its engine does: about
- * a second's worth at 100 tokens a second, measured on the users' sites.
+ * A run with fewer tokens left than this will probably end before its engine does: it takes about a second at 100 tokens per second,
+ * the rate at the users' sites.
  */
 const ENDS_SOON_TOKENS = 120;
 
@@ -18,8 +18,8 @@
 };
 
 /**
- * Lists the runs that have begun and can go on only by a move: the small ones first, since the link takes
- * more of them in the time that is left; last those that will probably end by themselves.
+ * Lists the runs that have begun and can continue only by a move. Small runs come first, since more of them can be copied in the time
+ * left. Runs that will probably end by themselves come last.
  */
 export const listRunsToMove = (
   placed: readonly PlacedRun[],
@@ -29,11 +29,11 @@
   return placed
     .filter((run) => run.isMovable && run.hasBegun)
     .map((run) => {
-      const known = reported.get(run.id);
-      const made = (known?.eventsMade ?? 0) * TOKENS_PER_EVENT;
+      const reportedRun = reported.get(run.id);
+      const made = (reportedRun?.eventsMade ?? 0) * TOKENS_PER_EVENT;
       return {
         id: run.id,
-        tokensInMemory: known?.tokensInMemory ?? run.promptTokens,
+        tokensInMemory: reportedRun?.tokensInMemory ?? run.promptTokens,
         tokensLeft: Math.max(0, run.expectedOut - made),
       };
     })
--- a/packages/migration/src/planEvacuation.test.ts
+++ b/packages/migration/src/planEvacuation.test.ts
@@ -6,7 +6,7 @@
 import { computeCopyTime, computePressure, type CopyLink } from "./copyTime.js";
 import { planEvacuation } from "./planEvacuation.js";
 
-/** The users' engines: 128 KiB a token over 19 Gbit/s. */
+/** The users' engines: 128 KiB per token over 19 Gbit/s. */
 const LINK: CopyLink = { bytesPerToken: 131_072, linkMbps: 19_000 };
 
 const makePlaced = (id: string, changes: Partial<PlacedRun> = {}): PlacedRun => ({
@@ -27,7 +27,7 @@
 });
 
 describe("listRunsToMove", () => {
-  it("leaves out runs that have not begun or that a new run may go on with", () => {
+  it("leaves out runs that have not begun or are not movable", () => {
     const runs = listRunsToMove(
       [
         makePlaced("a"),
@@ -39,7 +39,7 @@
     expect(runs.map(({ id }) => id)).toEqual(["a"]);
   });
 
-  it("puts small runs first and those that will end by themselves last, alike for any order of hearing", () => {
+  it("lists small runs first and runs that will soon end last, for any order of the input", () => {
     const placed = [
       makePlaced("large", { promptTokens: 5_000 }),
       makePlaced("ending", { promptTokens: 1_000, expectedOut: 100 }),
@@ -52,7 +52,7 @@
     );
   });
 
-  it("takes sizes from the engine's report where it knows the run", () => {
+  it("uses the sizes in the engine's report for a run that it lists", () => {
     const report = {
       startedAt: undefined,
       isLeaving: true,
@@ -78,7 +78,7 @@
   }));
   const noticedAt = 1_000 as Ms;
 
-  it("spreads the runs over the targets instead of sending all to the emptiest", () => {
+  it("spreads the runs over the targets instead of sending all to the least loaded one", () => {
     const targets = [
       makeTarget("x", { takenTokens: 9_000 }),
       makeTarget("y"),
@@ -93,29 +93,29 @@
   });
 
   const near = makeTarget("near", { isNear: true, takenTokens: 18_000 });
-  const planFirsts = (link: CopyLink | undefined, taken = 18_000) => {
+  const planFirstTargets = (link: CopyLink | undefined, taken = 18_000) => {
     const targets = [{ ...near, takenTokens: taken }, makeTarget("far")];
     const plan = planEvacuation({ noticedAt, runs, targets, link });
     return runs.map(({ id }) => plan.planRun(id, 3_000).targets[0]);
   };
 
-  it("prefers a near target only while it is little fuller when the link has time", () => {
-    expect(planFirsts(undefined)).toEqual(["far", "near", "far"]);
+  it("prefers a near target only while it is not much fuller when the link has enough time", () => {
+    expect(planFirstTargets(undefined)).toEqual(["far", "near", "far"]);
   });
 
-  it("prefers it for as many runs as it can take when the link has little time", () => {
-    expect(planFirsts(LINK)).toEqual(["near", "near", "far"]);
+  it("prefers a near target for as many runs as fit when the link has little time", () => {
+    expect(planFirstTargets(LINK)).toEqual(["near", "near", "far"]);
   });
 
-  it("never prefers one that is full", () => {
-    expect(planFirsts({ ...LINK, linkMbps: 1_000 }, 30_000)).toEqual([
+  it("does not prefer a near target that is full", () => {
+    expect(planFirstTargets({ ...LINK, linkMbps: 1_000 }, 30_000)).toEqual([
       "far",
       "far",
       "far",
     ]);
   });
 
-  it("lets copies begin in order, and a run that begins late behind all of them", () => {
+  it("starts copies in order, and the copy of a run that began later after all of them", () => {
     const plan = planEvacuation({
       noticedAt,
       runs,
@@ -128,12 +128,12 @@
   });
 });
 
-describe("copy times", () => {
-  it("are those that the users' engines showed: 0.19 s for 3,500 tokens within a data hall", () => {
+describe("computeCopyTime and computePressure", () => {
+  it("compute 0.19 s for 3,500 tokens within a data hall, as seen at the users' engines", () => {
     expect(computeCopyTime(3_500, LINK)).toBeCloseTo(193, 0);
   });
 
-  it("make a pressure of 1 when all runs just fit into the notice at the far rate", () => {
+  it("compute a pressure of 1 when copies of all runs to another data hall take exactly the notice time", () => {
     const runs = [{ id: "a", tokensInMemory: 11_777, tokensLeft: 0 }];
     expect(computePressure(runs, LINK)).toBeCloseTo(1, 2);
     expect(computePressure(runs, undefined)).toBe(0);
--- a/packages/migration/src/planEvacuation.ts
+++ b/packages/migration/src/planEvacuation.ts
@@ -1,29 +1,30 @@
 /**
- * How the runs of a leaving engine are moved. Pure.
+ * Plans when and where the runs of a leaving engine are copied. Pure.
  *
- * All boxes' copies queue on the engine's one link, so the boxes agree on an order without talking: each
- * works it out from the same runs, and begins its copies a little apart, in that order.
+ * The copies of all boxes share the engine's link. The boxes agree on an order without messages: each box computes it from the same
+ * runs and starts its copies in that order, a few milliseconds apart.
  */
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import { computePressure, type CopyLink } from "./copyTime.js";
 import { rankTargets, type MoveTarget, type RunToMove } from "@stairgauge/placement";
 
-/** What is known when an engine starts to leave. */
+/** The state when an engine starts to leave. */
 export type EvacuationInputs = Readonly<{
+  /** When the box learned that the engine leaves, by its monotonic clock. */
   noticedAt: Ms;
   /** In the order in which they are to be moved. */
   runs: readonly RunToMove[];
   targets: readonly MoveTarget[];
-  /** Undefined while the service's configuration is not known. */
+  /** Undefined while the box has no configuration of the service. */
   link: CopyLink | undefined;
 }>;
 
-/** What one run is to do. */
+/** When and where one run is copied. */
 export type RunPlan = Readonly<{
-  /** When its copy begins, on the box's steady clock. */
+  /** When the copy starts, by the box's monotonic clock. */
   copyAt: Ms;
-  /** Engines to copy it to, best first. */
+  /** Engines to copy the run to, best first. */
   targets: readonly ServerId[];
 }>;
 
@@ -32,8 +33,8 @@
   planRun: (id: string, tokensInMemory: number) => RunPlan;
 }>;
 
-/** Boxes hear a notice within a few milliseconds of each other; their calls keep this distance. */
-const DISTANCE_MS = 8;
+/** Time between the starts of two copies. Boxes learn that an engine leaves within a few milliseconds of each other. */
+const COPY_SPACING_MS = 8;
 
 /** Plans the evacuation of one engine. */
 export const planEvacuation = (inputs: EvacuationInputs): EvacuationPlan => {
@@ -46,13 +47,13 @@
       const rank = ranks.get(id);
       if (rank !== undefined)
         return {
-          copyAt: (noticedAt + rank * DISTANCE_MS) as Ms,
+          copyAt: (noticedAt + rank * COPY_SPACING_MS) as Ms,
           targets: assigned.get(id) ?? [],
         };
-      // A run that has begun since goes behind all others.
+      // A run that began after the plan was made comes last.
       const late: RunToMove = { id, tokensInMemory, tokensLeft: 0 };
       return {
-        copyAt: (noticedAt + runs.length * DISTANCE_MS) as Ms,
+        copyAt: (noticedAt + runs.length * COPY_SPACING_MS) as Ms,
         targets: rankTargets([...runs, late], targets, pressure).get(id) ?? [],
       };
     },
--- a/packages/migration/src/runMover.test.ts
+++ b/packages/migration/src/runMover.test.ts
@@ -38,7 +38,7 @@
   runs: [],
 } as const;
 
-/** A run at `old` with two targets; `answers` are given to copy calls in turn, each after 100 ms. */
+/** Sets up a run at `old` with two targets. Copy calls get the `answers` in turn, each after 100 ms. */
 const setUp = (
   answers: readonly CopyAnswer[],
   changes: { isResumable?: boolean; hasStandby?: boolean } = {},
@@ -46,12 +46,12 @@
   const clock = createVirtualClock();
   const servers = new Map(["old", "new", "other"].map((id) => [id, makeServer(id)]));
   const old = servers.get("old")!;
-  const script = [...answers];
+  const pendingAnswers = [...answers];
   const calls: CopyRequest[] = [];
-  const told: string[] = [];
+  const decisions: string[] = [];
   const dropped: string[] = [];
-  /** Servers whose data hall is closed to new work. */
-  const closed = new Set<string>();
+  /** Ids of servers whose data hall is closed to new work. */
+  const closedHalls = new Set<string>();
   let reserved = 0;
   const run: ActiveRun = {
     id: "r1" as ClientRequestId,
@@ -68,7 +68,7 @@
       readReport: () => Promise.resolve(Ok(EMPTY_REPORT)),
       copyRun: (request) => {
         calls.push(request);
-        const answer = script.shift() ?? { kind: "no_answer", detail: "silent" };
+        const answer = pendingAnswers.shift() ?? { kind: "no_answer", detail: "silent" };
         return new Promise((resolve) => {
           clock.setTimer(100 as Ms, () => resolve(answer));
         });
@@ -81,8 +81,8 @@
     findServer: (id) => servers.get(id),
     listRunsAt: () => [run],
     isLeaving: (server) => server.entry.id === "old",
-    mayTake: ({ entry }) => entry.id !== "old" && !closed.has(entry.id),
-    isHallClosed: ({ entry }) => closed.has(entry.id),
+    mayTake: ({ entry }) => entry.id !== "old" && !closedHalls.has(entry.id),
+    isHallClosed: ({ entry }) => closedHalls.has(entry.id),
     makePlan: () =>
       Promise.resolve({
         planRun: () => ({ copyAt: 0 as Ms, targets: ["new", "other"] as ServerId[] }),
@@ -101,11 +101,21 @@
         reserved -= 1;
       };
     },
-    onDecision: (_run, { kind }) => told.push(kind),
+    onDecision: (_run, { kind }) => decisions.push(kind),
   });
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
   const getReserved = () => reserved;
-  return { mover, run, old, calls, told, dropped, closed, advance, getReserved };
+  return {
+    mover,
+    run,
+    old,
+    calls,
+    decisions,
+    dropped,
+    closedHalls,
+    advance,
+    getReserved,
+  };
 };
 
 const makeCopied = (handle: string): CopyAnswer => ({
@@ -115,7 +125,7 @@
 });
 
 describe("createRunMover", () => {
-  it("copies a run while it goes on, stops it, and goes on from the copy at once", async () => {
+  it("copies a run while it continues, stops it, and continues it from the copy at once", async () => {
     const { mover, run, old, calls, advance, getReserved } = setUp([
       makeCopied("h"),
       makeCopied("h"),
@@ -136,7 +146,7 @@
     expect(getReserved()).toBe(0);
   });
 
-  it("tries the next target when one has no room", async () => {
+  it("attempts the next target when one lacks memory", async () => {
     const refused: CopyAnswer = { kind: "no_room", handle: undefined };
     const { mover, run, old, advance } = setUp([
       refused,
@@ -150,9 +160,9 @@
     });
   });
 
-  it("looks for targets anew while the engine lives when none had room", async () => {
+  it("ranks the targets continuations when all lacked memory and the engine still runs", async () => {
     const refused: CopyAnswer = { kind: "no_room", handle: undefined };
-    const { mover, run, old, calls, told, advance } = setUp([
+    const { mover, run, old, calls, decisions, advance } = setUp([
       refused,
       refused,
       makeCopied("h3"),
@@ -160,7 +170,7 @@
     ]);
     mover.onServerLeaving(old);
     await advance(200);
-    expect(told.at(-1)).toBe("no_target");
+    expect(decisions.at(-1)).toBe("no_target");
     await advance(400);
     expect(calls.map(({ target }) => target.host)).toEqual([
       "host-new",
@@ -173,16 +183,16 @@
     });
   });
 
-  it("goes on from the copy when the engine dies before the run was stopped", async () => {
+  it("continues from the copy when the engine dies before the run was stopped", async () => {
     const lost: CopyAnswer = { kind: "no_answer", detail: "reset" };
-    const { mover, run, old, told, advance } = setUp([makeCopied("h"), lost]);
+    const { mover, run, old, decisions, advance } = setUp([makeCopied("h"), lost]);
     mover.onServerLeaving(old);
     await advance(250);
     expect(await mover.recover(run, "reset")).toMatchObject({ memory: { handle: "h" } });
-    expect(told).toContain("goes_on_from_copy");
+    expect(decisions).toContain("goes_on_from_copy");
   });
 
-  it("keeps the copy and tries no other target when the stop is refused for lack of room", async () => {
+  it("keeps the copy and attempts no other target when the stop is refused for lack of memory", async () => {
     const refused: CopyAnswer = { kind: "no_room", handle: undefined };
     const { mover, run, old, calls, advance } = setUp([makeCopied("h"), refused]);
     mover.onServerLeaving(old);
@@ -197,31 +207,31 @@
     });
   });
 
-  it("loses a run whose engine dies before its copy is there, and says so", async () => {
-    const { mover, run, old, told, advance } = setUp([
+  it("reports a run as not recovered when its engine dies before the copy is complete", async () => {
+    const { mover, run, old, decisions, advance } = setUp([
       { kind: "no_answer", detail: "reset" },
     ]);
     mover.onServerLeaving(old);
     await advance(50);
     expect(await mover.recover(run, "reset")).toBeUndefined();
-    expect(told.at(-1)).toBe("not_recovered");
+    expect(decisions.at(-1)).toBe("not_recovered");
   });
 
-  it("goes back to the source when the target refuses the copy after all", async () => {
+  it("continues at the source when the target refuses the run after the copy", async () => {
     const { mover, run, old, advance } = setUp([makeCopied("h"), makeCopied("h")]);
     mover.onServerLeaving(old);
     await advance(250);
     await mover.recover(run, "stopped");
     mover.onContinued(run, { kind: "refused", status: 503 });
-    const again = [
+    const continuations = [
       await mover.recover(run, "refused"),
       await mover.recover(run, "refused"),
     ];
-    expect(again.map((found) => found?.server.entry.id)).toContain("old");
+    expect(continuations.map((found) => found?.server.entry.id)).toContain("old");
     expect(await mover.recover(run, "refused")).toBeUndefined();
   });
 
-  it("stops a run at its source before it goes on from a standby copy, since only the connection may be lost", async () => {
+  it("stops a run at its source before it continues from a standby copy, since only the connection may be lost", async () => {
     const { mover, run, calls, advance } = setUp([makeCopied("s")], { hasStandby: true });
     const found = mover.recover(run, "reset");
     await advance(100);
@@ -234,7 +244,7 @@
     });
   });
 
-  it("goes on from a standby copy when its engine is dead", async () => {
+  it("continues from a standby copy when the engine is dead", async () => {
     const lost: CopyAnswer = { kind: "no_answer", detail: "refused" };
     const { mover, run, advance } = setUp([lost], { hasStandby: true });
     const found = mover.recover(run, "reset");
@@ -242,7 +252,7 @@
     expect(await found).toMatchObject({ memory: { handle: "s" } });
   });
 
-  it("brings a standby copy up to date when its engine leaves, and tries no other target", async () => {
+  it("updates a standby copy when the engine leaves, and attempts no other target", async () => {
     const { mover, run, old, calls, advance } = setUp(
       [makeCopied("s"), makeCopied("s")],
       {
@@ -260,7 +270,7 @@
     });
   });
 
-  it("frees a copy that its run did not need, and no other", async () => {
+  it("frees an unused copy, but not one that the run continued from", async () => {
     const { mover, run, old, dropped, advance } = setUp([makeCopied("h")]);
     mover.onServerLeaving(old);
     await advance(100);
@@ -276,11 +286,11 @@
   });
 
   it("moves no run to an engine whose data hall is closed to new work", async () => {
-    const { mover, run, old, calls, closed, advance } = setUp([
+    const { mover, run, old, calls, closedHalls, advance } = setUp([
       makeCopied("h"),
       makeCopied("h"),
     ]);
-    closed.add("new");
+    closedHalls.add("new");
     mover.onServerLeaving(old);
     await advance(250);
     expect(calls.map(({ target }) => target.host)).toEqual(["host-other", "host-other"]);
@@ -289,27 +299,27 @@
     });
   });
 
-  it("goes on neither from a copy nor at the source once their data halls are closed", async () => {
-    const { mover, run, old, told, closed, advance } = setUp([
+  it("continues neither from a copy nor at the source once their data halls are closed", async () => {
+    const { mover, run, old, decisions, closedHalls, advance } = setUp([
       makeCopied("h"),
       makeCopied("h"),
     ]);
     mover.onServerLeaving(old);
     await advance(250);
-    closed.add("new");
-    closed.add("old");
+    closedHalls.add("new");
+    closedHalls.add("old");
     expect(await mover.recover(run, "stopped")).toBeUndefined();
-    expect(told.at(-1)).toBe("not_recovered");
+    expect(decisions.at(-1)).toBe("not_recovered");
   });
 
-  it("moves a run that begins at an engine which already leaves", async () => {
+  it("moves a run that begins at an engine that is already leaving", async () => {
     const { mover, run, calls, advance } = setUp([makeCopied("h"), makeCopied("h")]);
     mover.onBegun(run);
     await advance(100);
     expect(calls).toHaveLength(2);
   });
 
-  it("moves no memory for a stream that a new run may go on with", async () => {
+  it("copies nothing for a resumable stream", async () => {
     const { mover, old, calls, advance } = setUp([makeCopied("h")], {
       isResumable: true,
     });
--- a/packages/migration/src/runMover.ts
+++ b/packages/migration/src/runMover.ts
@@ -1,10 +1,9 @@
 /**
- * Moves the runs of an engine that leaves to other engines.
+ * Moves the runs of a leaving engine to other engines.
  *
- * Each run is copied while it goes on, then stopped, and goes on at once from its copy: what the copy
- * lacks is read anew there, which takes less time than the rest would wait for the link. An engine that ends
- * before leaves a copy from which the run goes on all the same. The stream itself is switched by the
- * forwarder, which asks `recover` where a run goes on once its server has ended the stream.
+ * Each run is copied while it continues, then stopped, and continues at once from its copy. The target recomputes what the copy lacks,
+ * which is faster than waiting for the link to copy the rest. If the engine ends before the stop, the run continues from the copy too.
+ * The forwarder switches the stream: when a server has ended it, the forwarder calls `recover` to find where the run continues.
  */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { BackendServer, ServerAddress, ServerId } from "@stairgauge/directory";
@@ -18,7 +17,7 @@
 import type { Standby } from "./standbyKeeper.js";
 import type { CopyAnswer, EngineActions } from "./types.js";
 
-/** A step of a move; each is logged as one line. */
+/** A step of a move. Each is logged as one line. */
 export type MoveDecision = Readonly<
   | { kind: "move_begun"; from: string; to: string; tokens: number }
   | { kind: "copied"; from: string; to: string; took: Ms; handle: string }
@@ -30,59 +29,60 @@
   | { kind: "not_recovered"; from: string; detail: string }
 >;
 
-/** What the mover needs. */
+/** Dependencies of the mover. */
 export type RunMoverDeps = Readonly<{
   clock: Clock;
   actions: EngineActions;
   findServer: (id: ServerId) => BackendServer | undefined;
   listRunsAt: (server: BackendServer) => readonly ActiveRun[];
   isLeaving: (server: BackendServer) => boolean;
-  /** Whether a server may be sent the run, were it new. */
+  /** Whether the server would be allowed to get the run if it were new. */
   mayTake: (server: BackendServer, run: ActiveRun) => boolean;
-  /** Whether a server's data hall is closed to new work: a run that was stopped there cannot go on there either. */
+  /** Whether the server's data hall is closed to new work. A run that was stopped there can't continue there either. */
   isHallClosed: (server: BackendServer) => boolean;
-  /** Asks a leaving engine and plans what its runs are to do. */
+  /** Reads the report of a leaving engine and plans the moves of its runs. */
   makePlan: (server: BackendServer) => Promise<EvacuationPlan>;
-  /** Targets for one run by what is known now, best first. */
+  /** Ranks the targets for one run by the current loads, best first. */
   rankNow: (server: BackendServer, run: ActiveRun) => Promise<readonly ServerId[]>;
-  /** A copy of the run that was kept in case its engine goes. */
+  /** Removes and returns the standby copy of the run; undefined if there is none. */
   takeStandby: (run: ActiveRun) => Promise<Standby | undefined>;
   dropStandby: (run: ActiveRun) => void;
-  /** Notes tokens at a target until the returned function is called. */
+  /** Reserves the run's tokens at the target until the returned function is called. */
   reserve: (target: BackendServer, run: ActiveRun) => () => void;
   onDecision: (run: ActiveRun, decision: MoveDecision) => void;
 }>;
 
 type Move = {
   readonly from: BackendServer;
+  /** Ends the reservation at the target. */
   release: () => void;
-  /** A copy that lies at its target. */
+  /** The copy at the target; undefined until the first copy is complete, and once the run continues from it. */
   copy: RunContinuation | undefined;
-  /** The last part is being copied; resolves with where the run goes on. */
+  /** The stop of the run with its last copy; resolves with where the run continues. Undefined before the stop. */
   stopping: Promise<RunContinuation | undefined> | undefined;
-  /** The stopped run at its source, for a target that takes it back. */
+  /** Where the stopped run can continue at its source if the target refuses it. */
   source: RunContinuation | undefined;
 };
 
-/** Longest that a copy may take; an engine that leaves is gone by then. */
+/** Timeout of a copy; a leaving engine has ended by then. */
 const COPY_LIMIT_MS = 3_000 as Ms;
 
-/** Longest that an engine which broke a stream off is waited for, to be sure that the run has stopped there. */
+/** Timeout of the call that stops a run at an engine which broke off its stream. */
 const STOP_LIMIT_MS = 250 as Ms;
 
-/** Targets tried for one move before the rest is looked at anew. */
+/** Targets attempted for one move before the targets are ranked again. */
 const MAX_TARGETS = 3;
 
-/** Rounds of targets for one move, and the pause between them: runs end and servers come all the time. */
+/** Rounds of targets for one move, and the pause between them. Targets get free as runs end and servers join. */
 const MAX_ROUNDS = 8;
 const ROUND_PAUSE_MS = 150;
 
-/** Keeps runs alive across their engines. */
+/** Moves runs between engines so that they survive the end of their engine. */
 export type RunMover = RunKeeper &
   Readonly<{
-    /** An engine gets no new work: its runs begin to move. */
+    /** Starts to move the runs of an engine that leaves. */
     onServerLeaving: (server: BackendServer) => void;
-    /** An engine is forgotten. */
+    /** Drops the plan of an engine that has been removed from the directory. */
     onServerForgotten: (server: BackendServer) => void;
   }>;
 
@@ -97,7 +97,7 @@
 
   const dropMove = (move: Move) => {
     move.release();
-    // A copy that nobody will go on from takes memory at its target until it lapses.
+    // An unused copy would take memory at its target until it expires.
     if (move.copy)
       void actions.dropCopy(move.copy.memory.source, move.copy.memory.handle);
   };
@@ -174,15 +174,16 @@
       move.source = makeContinuation(from, address, answer.handle);
       return makeContinuation(target, address, answer.handle);
     }
-    // A run that was stopped without room at its target lies at its source, and goes on there.
+    // A run that was stopped while its target lacked memory remains at its source and continues there.
     if (answer.kind === "no_room" && answer.handle !== undefined)
       return makeContinuation(from, address, answer.handle);
     return undefined;
   };
 
   /**
-   * Copies the run to a target and stops it there; false when the target has no room. A run whose stop is refused
-   * goes on at its source until that ends, and then from its copy: a copy elsewhere would make this one void.
+   * Copies the run to a target and begins to stop it at its source. Returns false when another target is to be attempted, since this
+   * one lacks memory or another copy is in progress. A run whose stop is refused continues at its source until the source ends, and
+   * then from this copy: a copy to another target would make this one invalid.
    */
   const attemptMove = async (run: ActiveRun, move: Move, target: BackendServer) => {
     const { from } = move;
@@ -194,7 +195,7 @@
     if (copied.kind !== "copied")
       return copied.kind !== "no_room" && copied.kind !== "under_way";
     if (!isCurrent(run, move)) {
-      // The run ended meanwhile: its copy would take memory until it lapses.
+      // The run ended during the copy, which would take memory until it expires.
       void actions.dropCopy(from.entry.address, copied.handle);
       return true;
     }
@@ -203,29 +204,29 @@
     return true;
   };
 
-  const isOpenTo = (
+  const mayMoveTo = (
     run: ActiveRun,
     target: BackendServer | undefined,
   ): target is BackendServer => target !== undefined && deps.mayTake(target, run);
 
-  /** Tries targets in turn; true when the move needs no further ones. */
+  /** Attempts the targets in turn. Returns true when no further ones are needed. */
   const attemptEach = async (
     run: ActiveRun,
     move: Move,
     targets: readonly ServerId[],
   ) => {
-    const open = targets.filter((id) => isOpenTo(run, deps.findServer(id)));
-    for (const id of open.slice(0, MAX_TARGETS)) {
+    const allowed = targets.filter((id) => mayMoveTo(run, deps.findServer(id)));
+    for (const id of allowed.slice(0, MAX_TARGETS)) {
       const target = deps.findServer(id);
       if (!isCurrent(run, move)) return true;
-      if (!isOpenTo(run, target)) continue;
+      if (!mayMoveTo(run, target)) continue;
       if (await attemptMove(run, move, target)) return true;
     }
     return false;
   };
 
-  /** Brings a copy that is there already up to date, and stops the run. */
-  const stopAtCopy = async (run: ActiveRun, move: Move, target: BackendServer) => {
+  /** Updates an existing copy of the run, then stops the run. */
+  const updateCopyAndStop = async (run: ActiveRun, move: Move, target: BackendServer) => {
     const { from } = move;
     await copyOnce(run, { from, target, isLast: false });
     if (isCurrent(run, move) && move.copy)
@@ -237,7 +238,7 @@
     await waitUntil(plan.copyAt);
     if (!isCurrent(run, move)) return;
     if (move.copy) {
-      await stopAtCopy(run, move, move.copy.server);
+      await updateCopyAndStop(run, move, move.copy.server);
       return;
     }
     let { targets } = plan;
@@ -251,7 +252,7 @@
     }
   };
 
-  /** Begins the move of a run, from the copy that was kept of it if there is one. */
+  /** Creates the move of a run. It starts from the run's standby copy if there is one. */
   const createMove = async (run: ActiveRun, from: BackendServer): Promise<Move> => {
     const move: Move = {
       from,
@@ -270,12 +271,15 @@
   };
 
   const startMove = async (run: ActiveRun, from: BackendServer) => {
-    // A stream that a new run may go on with needs no memory moved.
+    // A resumable stream can be continued by a new run, without its memory.
     if (run.route.isResumable || moves.has(run)) return;
     await attemptTargets(run, await createMove(run, from));
   };
 
-  /** An engine may have lost only its connection: the run must not go on in two places. A dead one refuses at once. */
+  /**
+   * Stops the run at its source before it continues from a copy. Only the connection may have been lost, and the run must not continue
+   * in two places. The call fails at once if the engine is dead.
+   */
   const confirmStopped = async (run: ActiveRun, move: Move) => {
     if (!move.copy || move.stopping) return;
     await stopAtSource(run, move, move.copy.server, STOP_LIMIT_MS);
@@ -333,10 +337,10 @@
       if (isLeaving(server)) void startMove(run, server);
     },
     recover: async (run, detail) => {
-      const found = await findContinuation(run, detail);
+      const continuation = await findContinuation(run, detail);
       const from = run.getServer().entry.id;
-      if (!found) onDecision(run, { kind: "not_recovered", from, detail });
-      return found;
+      if (!continuation) onDecision(run, { kind: "not_recovered", from, detail });
+      return continuation;
     },
     onContinued: (run, outcome: ContinuationOutcome) => {
       if (outcome.kind !== "goes_on") return;
--- a/packages/migration/src/standbyKeeper.test.ts
+++ b/packages/migration/src/standbyKeeper.test.ts
@@ -50,7 +50,7 @@
   let copied: string[];
   let dropped: string[];
   let reserved: number;
-  let told: string[];
+  let decisions: string[];
   const run = makeRun("r1");
 
   beforeEach(() => {
@@ -62,7 +62,7 @@
     copied = [];
     dropped = [];
     reserved = 0;
-    told = [];
+    decisions = [];
     keeper = createStandbyKeeper({
       clock,
       actions: {
@@ -93,14 +93,14 @@
         };
       },
       getCopyLife: () => 5_000 as Ms,
-      onDecision: (_run, { kind }) => told.push(kind),
+      onDecision: (_run, { kind }) => decisions.push(kind),
     });
     keeper.start();
   });
 
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
 
-  it("copies an exposed run once, without stopping it, and hands the copy over", async () => {
+  it("copies an exposed run once without stopping it, and gives the copy to the first taker", async () => {
     await advance(1_000);
     expect(copied).toEqual(["r1"]);
     expect(reserved).toBe(1);
@@ -114,13 +114,13 @@
     expect(await keeper.take(run)).toBeUndefined();
   });
 
-  it("copies no run that the link would carry", async () => {
+  it("copies no run that is not exposed", async () => {
     isExposed = false;
     await advance(2_000);
     expect(copied).toEqual([]);
   });
 
-  it("brings a copy up to date before its engine drops it, as long as it is needed", async () => {
+  it("updates a copy before its engine drops it, and frees it once the run is not exposed", async () => {
     await advance(4_500);
     expect(copied).toEqual(["r1", "r1"]);
     isExposed = false;
@@ -130,14 +130,14 @@
     expect(reserved).toBe(0);
   });
 
-  it("frees a copy whose run has ended", async () => {
+  it("frees the copy of a run that has ended", async () => {
     await advance(1_000);
     keeper.drop(run);
     expect(dropped).toEqual(["h-r1"]);
     expect(reserved).toBe(0);
   });
 
-  it("frees a copy whose run ended while it was made", async () => {
+  it("frees the copy of a run that ended during the copy", async () => {
     await advance(450);
     runs = [];
     await advance(100);
@@ -145,7 +145,7 @@
     expect(await keeper.take(run)).toBeUndefined();
   });
 
-  it("waits for a copy under way when its run has to move", async () => {
+  it("waits for the copy in progress when its run has to move", async () => {
     await advance(450);
     runs = [];
     const taken = keeper.take(run);
@@ -154,24 +154,24 @@
     expect(dropped).toEqual([]);
   });
 
-  it("gives no copy whose own engine goes, and makes another", async () => {
+  it("frees a copy instead of giving it away when its own engine leaves", async () => {
     await advance(1_000);
     leaving.add(TARGET);
     expect(await keeper.take(run)).toBeUndefined();
     expect(dropped).toEqual(["h-r1"]);
-    expect(told).toContain("standby_dropped");
+    expect(decisions).toContain("standby_dropped");
   });
 
-  it("gives the room back when the target has none, and tries again later", async () => {
+  it("ends the reservation when the target lacks memory, and attempts a copy again later", async () => {
     answers = [{ kind: "no_room", handle: undefined }];
     await advance(550);
     expect(reserved).toBe(0);
-    expect(told).toEqual(["standby_begun", "standby_failed"]);
+    expect(decisions).toEqual(["standby_begun", "standby_failed"]);
     await advance(1_000);
     expect(reserved).toBe(1);
   });
 
-  it("gives a copy up that could not be brought up to date for its whole life", async () => {
+  it("frees a copy that could not be updated for its whole lifetime", async () => {
     await advance(1_000);
     answers = Array.from({ length: 20 }, () => ({ kind: "no_answer", detail: "silent" }));
     await advance(6_000);
--- a/packages/migration/src/standbyKeeper.ts
+++ b/packages/migration/src/standbyKeeper.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps standby copies of runs that their engine's link could not copy once it says that it goes, and of no
- * others: a copy takes memory at its target for as long as it is kept.
+ * Keeps standby copies of the runs that could not be copied in time once their engine announces that it leaves. Other runs get none,
+ * since a copy takes memory at its target for as long as it is kept.
  */
 import type { Clock, Ms, Timer } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import type { ActiveRun, RunContinuation } from "@stairgauge/forwarding";
 import type { EngineActions } from "./types.js";
 
-/** A step of a standby; each is logged as one line. */
+/** A change of a standby copy. Each is logged as one line. */
 export type StandbyDecision = Readonly<
   | { kind: "standby_begun"; from: string; to: string; tokens: number }
   | { kind: "standby_kept"; from: string; to: string; took: Ms }
@@ -15,63 +15,67 @@
   | { kind: "standby_dropped"; from: string; to: string; detail: string }
 >;
 
-/** What the keeper needs. */
+/** Dependencies of the keeper. */
 export type StandbyKeeperDeps = Readonly<{
   clock: Clock;
   actions: Pick<EngineActions, "copyRun" | "dropCopy">;
-  /** Runs of this box that could be moved and are at engines that stay. */
+  /** Lists this box's movable runs at engines that are not leaving. */
   listRuns: () => readonly ActiveRun[];
-  /** Whether its engine's link would come too late for the run, were there no copy of it. */
+  /** Whether the run, without a standby copy, could not be copied in time once its engine leaves. */
   isExposed: (run: ActiveRun) => boolean;
-  /** Whether a server may be sent the run, were it new. */
+  /** Whether the server would be allowed to get the run if it were new. */
   mayTake: (server: BackendServer, run: ActiveRun) => boolean;
-  /** An engine with memory to spare for a copy. */
+  /** Finds an engine with enough free memory for a copy; undefined if there is none. */
   findTarget: (run: ActiveRun) => BackendServer | undefined;
+  /** Reserves the run's tokens at the target until the returned function is called. */
   reserve: (target: BackendServer, run: ActiveRun) => () => void;
-  /** How long an engine keeps a copy that nobody asks for. */
+  /** How long an engine keeps an unused copy. */
   getCopyLife: (run: ActiveRun) => Ms;
   onDecision: (run: ActiveRun, decision: StandbyDecision) => void;
 }>;
 
-/** A copy and what it holds. */
+/** A copy and the function that ends its reservation at the target. */
 export type Standby = Readonly<{ copy: RunContinuation; release: () => void }>;
 
-/** Standby copies of one box's runs. */
+/** Keeps the standby copies of one box's runs. */
 export type StandbyKeeper = Readonly<{
   start: () => void;
   stop: () => void;
-  /** Hands a run's copy over to whoever moves it, once a copy under way is there. */
+  /**
+   * Removes and returns a run's copy, which the caller then owns; undefined if there is none. Waits for a copy of the run that is in
+   * progress.
+   */
   take: (run: ActiveRun) => Promise<Standby | undefined>;
-  /** The run has ended, or is elsewhere: its copy is freed. */
+  /** Frees the copy of a run that has ended or moved. */
   drop: (run: ActiveRun) => void;
 }>;
 
-type Kept = Standby & Readonly<{ from: BackendServer; keptAt: Ms }>;
+type KeptStandby = Standby & Readonly<{ from: BackendServer; keptAt: Ms }>;
 
-/** How often the box looks at its runs. */
-const LOOK_INTERVAL_MS = 400 as Ms;
+/** Interval between two checks of the runs. */
+const CHECK_INTERVAL_MS = 400 as Ms;
 
-/** A copy is brought up to date this long before its engine would drop it. */
+/** A copy is updated this long before its engine would drop it. */
 const REFRESH_MARGIN_MS = 1_500;
 
-/** Longest that a copy may take: links are shared with moves. */
+/** Timeout of a copy. Moves use the same links. */
 const COPY_LIMIT_MS = 2_000 as Ms;
 
-/** Creates the keeper; it looks at nothing until it is started. */
+/** Creates the keeper. Its checks run after `start`. */
 export const createStandbyKeeper = (deps: StandbyKeeperDeps): StandbyKeeper => {
   const { clock, actions, onDecision } = deps;
-  const kept = new Map<ActiveRun, Kept>();
-  /** Runs whose mover waits for the copy under way. */
-  const awaited = new Set<ActiveRun>();
+  const standbys = new Map<ActiveRun, KeptStandby>();
+  /** Runs whose copy in progress `take` waits for. */
+  const awaitedRuns = new Set<ActiveRun>();
   let timer: Timer | undefined;
-  let isLooking = false;
-  /** One copy at a time, so that a notice finds the links free. */
-  let underWay: Readonly<{ run: ActiveRun; done: Promise<void> }> | undefined;
+  let isChecking = false;
+  /** The copy in progress. There is one at a time, so that the links are free when an engine leaves. */
+  let inProgress: Readonly<{ run: ActiveRun; done: Promise<void> }> | undefined;
 
   const release = (run: ActiveRun, detail: string) => {
-    const standby = kept.get(run);
+    const standby = standbys.get(run);
     if (!standby) return;
-    kept.delete(run);
+    standbys.delete(run);
     standby.release();
     const { from, copy } = standby;
     const names = { from: from.entry.id, to: copy.server.entry.id };
@@ -79,18 +83,18 @@
     void actions.dropCopy(copy.memory.source, copy.memory.handle);
   };
 
-  /** A copy at an engine that goes itself, or whose data hall is closed to new work, is worth nothing. */
-  const findKept = (run: ActiveRun): Kept | undefined => {
-    const standby = kept.get(run);
+  /** Returns the run's copy; releases it if its own engine may get no new work, since the run could not continue there. */
+  const findKept = (run: ActiveRun): KeptStandby | undefined => {
+    const standby = standbys.get(run);
     if (!standby || deps.mayTake(standby.copy.server, run)) return standby;
-    release(run, "its target gets no new work");
+    release(run, "its target may get no new runs");
     return undefined;
   };
 
   const copyTo = async (
     run: ActiveRun,
     target: BackendServer,
-    dropReserve: () => void,
+    releaseReservation: () => void,
   ) => {
     const from = run.getServer();
     const names = { from: from.entry.id, to: target.entry.id };
@@ -109,10 +113,10 @@
     const keptAt = clock.monotonic();
     const memory = { source: from.entry.address, handle: answer.handle };
     onDecision(run, { kind: "standby_kept", ...names, took: (keptAt - begunAt) as Ms });
-    kept.set(run, {
+    standbys.set(run, {
       from,
       copy: { server: target, memory },
-      release: dropReserve,
+      release: releaseReservation,
       keptAt,
     });
     return true;
@@ -126,24 +130,24 @@
     const from = run.getServer();
     const names = { from: from.entry.id, to: target.entry.id };
     onDecision(run, { kind: "standby_begun", ...names, tokens: run.getTokens() });
-    const dropReserve = deps.reserve(target, run);
-    if (!(await copyTo(run, target, dropReserve))) {
-      dropReserve();
+    const releaseReservation = deps.reserve(target, run);
+    if (!(await copyTo(run, target, releaseReservation))) {
+      releaseReservation();
       return;
     }
-    if (!awaited.has(run) && !isStillAt(run, from))
-      release(run, "the run was over before its copy was there");
+    if (!awaitedRuns.has(run) && !isStillAt(run, from))
+      release(run, "the run ended or moved before its copy was complete");
   };
 
-  const update = async (run: ActiveRun, standby: Kept) => {
+  const update = async (run: ActiveRun, standby: KeptStandby) => {
     if (!deps.isExposed(run)) {
-      release(run, "the link would carry it now");
+      release(run, "the run could now be copied in time without it");
       return;
     }
     if (await copyTo(run, standby.copy.server, standby.release)) return;
     const age = clock.monotonic() - standby.keptAt;
-    if (age >= deps.getCopyLife(run) - LOOK_INTERVAL_MS)
-      release(run, "it could not be brought up to date");
+    if (age >= deps.getCopyLife(run) - CHECK_INTERVAL_MS)
+      release(run, "it could not be updated");
   };
 
   const findDue = (run: ActiveRun): (() => Promise<void>) | undefined => {
@@ -154,21 +158,21 @@
     return isDue ? () => update(run, standby) : undefined;
   };
 
-  const look = async () => {
-    if (isLooking) return;
-    isLooking = true;
+  const checkRuns = async () => {
+    if (isChecking) return;
+    isChecking = true;
     for (const run of deps.listRuns()) {
       const done = findDue(run)?.();
       if (!done) continue;
-      underWay = { run, done };
+      inProgress = { run, done };
       await done;
-      underWay = undefined;
+      inProgress = undefined;
     }
-    isLooking = false;
+    isChecking = false;
   };
   const schedule = () => {
-    timer = clock.setTimer(LOOK_INTERVAL_MS, () => {
-      void look();
+    timer = clock.setTimer(CHECK_INTERVAL_MS, () => {
+      void checkRuns();
       schedule();
     });
   };
@@ -177,15 +181,15 @@
     start: schedule,
     stop: () => timer?.cancel(),
     take: async (run) => {
-      if (underWay?.run === run) {
-        awaited.add(run);
-        await underWay.done;
-        awaited.delete(run);
+      if (inProgress?.run === run) {
+        awaitedRuns.add(run);
+        await inProgress.done;
+        awaitedRuns.delete(run);
       }
       const standby = findKept(run);
-      kept.delete(run);
+      standbys.delete(run);
       return standby;
     },
-    drop: (run) => release(run, "the run is over or elsewhere"),
+    drop: (run) => release(run, "the run ended or moved"),
   };
 };
--- a/packages/migration/src/types.ts
+++ b/packages/migration/src/types.ts
@@ -1,44 +1,45 @@
-/** Calls on engines, in the product's words; the platform's folder makes them. */
+/** Calls to engines, as an interface without the wire format, which the platform folder implements. */
 import type { Ms, Result } from "@stairgauge/common";
 import type { ServerAddress } from "@stairgauge/directory";
 import type { EngineReport } from "@stairgauge/placement";
 
-/** Why an engine gave no usable answer. */
+/** A call without a usable answer. */
 export type EngineFailure = Readonly<{
   kind: "no_answer" | "refused" | "malformed";
   detail: string;
 }>;
 
-/** A call for a run's memory to be copied. */
+/** A request to copy a run's memory to another engine. */
 export type CopyRequest = Readonly<{
   source: ServerAddress;
   target: ServerAddress;
-  /** The request that the run answers. */
+  /** Id of the request that the run answers. */
   id: string;
-  /** The run stops first; its stream ends without an end. */
+  /** Whether the run is stopped before the copy. Its stream then breaks off without an end event. */
   isLast: boolean;
+  /** Timeout of the call. */
   limit: Ms;
 }>;
 
-/** What became of it. */
+/** The outcome of a copy request. */
 export type CopyAnswer = Readonly<
   | { kind: "copied"; handle: string; eventsMade: number }
-  /** The engine has no such run: it has ended, or it has not begun. */
+  /** The engine has no such run: it has ended or has not begun. */
   | { kind: "no_such_run" }
-  /** Another copy of this run is under way. */
+  /** Another copy of this run is in progress. */
   | { kind: "under_way" }
-  /** No room at the target, or no way there; a run that was stopped lies at its source under the handle. */
+  /** The target lacks memory or can't be reached. A run that was stopped for the copy remains at its source under `handle`. */
   | { kind: "no_room"; handle: string | undefined }
   | { kind: "no_answer"; detail: string }
 >;
 
-/** The calls. */
+/** The calls to engines. */
 export type EngineActions = Readonly<{
   readReport: (
     engine: ServerAddress,
     limit: Ms,
   ) => Promise<Result<EngineReport, EngineFailure>>;
   copyRun: (request: CopyRequest) => Promise<CopyAnswer>;
-  /** Frees a copy that nobody will use. */
+  /** Frees the memory of a copy that will not be used. */
   dropCopy: (engine: ServerAddress, handle: string) => Promise<void>;
 }>;
