--- a/packages/crashes/src/index.ts
+++ b/packages/crashes/src/index.ts
@@ -1,10 +1,6 @@
 /** Detects requests that crash backend servers, and blocks them. */
 export type * from "./types.js";
-export {
-  ENDS_TO_STOP_REPEATS,
-  NO_CRASH_UPDATE as NO_CRASH_NEWS,
-  REQUEST_DIGEST,
-} from "./constants.js";
+export { ENDS_TO_STOP_REPEATS, NO_CRASH_UPDATE, REQUEST_DIGEST } from "./constants.js";
 export { BLOCKED_RESTORE_RULES, createBlockedList } from "./blockedList.js";
 export type { BlockedList, BlockedListOptions } from "./blockedList.js";
 export { hashRequest } from "./hashRequest.js";
--- a/packages/crashes/src/requestGuard.ts
+++ b/packages/crashes/src/requestGuard.ts
@@ -31,8 +31,8 @@
   /** This box has seen a crash, or a request completed. The update is to be sent to other boxes. */
   onOwnUpdate: (update: CrashUpdate) => void;
   /**
-   * Shared crashes have changed, whichever box saw the cause. The update is complete for boxes that get updates from this box only.
-   * It leaves out requests with a single crash.
+   * The crashes on record of requests with several crashes have changed, whichever box saw the cause. Boxes that are linked only to
+   * this one need no other updates. Requests with a single crash are left out.
    */
   onSharedUpdate: (update: CrashUpdate) => void;
   onBlocked: (blocked: BlockedRequest) => void;
--- a/packages/migration/src/runMover.test.ts
+++ b/packages/migration/src/runMover.test.ts
@@ -160,7 +160,7 @@
     });
   });
 
-  it("ranks the targets continuations when all lacked memory and the engine still runs", async () => {
+  it("ranks the targets again when all lacked memory and the engine still runs", async () => {
     const refused: CopyAnswer = { kind: "no_room", handle: undefined };
     const { mover, run, old, calls, decisions, advance } = setUp([
       refused,
--- a/packages/migration/src/runMover.ts
+++ b/packages/migration/src/runMover.ts
@@ -58,9 +58,9 @@
   release: () => void;
   /** The copy at the target; undefined until the first copy is complete, and once the run continues from it. */
   copy: RunContinuation | undefined;
-  /** The stop of the run with its last copy; resolves with where the run continues. Undefined before the stop. */
+  /** Resolves with where the run continues, or undefined if the stop failed. Set while the run is stopped, until the result is used. */
   stopping: Promise<RunContinuation | undefined> | undefined;
-  /** Where the stopped run can continue at its source if the target refuses it. */
+  /** Where the stopped run continues at its source if its target refuses it; undefined before the stop and once it is used. */
   source: RunContinuation | undefined;
 };
 
@@ -73,7 +73,7 @@
 /** Targets attempted for one move before the targets are ranked again. */
 const MAX_TARGETS = 3;
 
-/** Rounds of targets for one move, and the pause between them. Targets get free as runs end and servers join. */
+/** Rounds of targets for one move, and the pause between them. Targets become available as runs end and servers join. */
 const MAX_ROUNDS = 8;
 const ROUND_PAUSE_MS = 150;
 
@@ -285,6 +285,7 @@
     await stopAtSource(run, move, move.copy.server, STOP_LIMIT_MS);
   };
 
+  /** Removes and returns the copy. */
   const takeCopy = (run: ActiveRun, move: Move, detail: string) => {
     const { copy } = move;
     move.copy = undefined;
@@ -295,12 +296,14 @@
     return copy;
   };
 
+  /** Removes and returns the result of the stop. */
   const takeStopped = (move: Move) => {
     const { stopping } = move;
     move.stopping = undefined;
     return stopping;
   };
 
+  /** Removes and returns the continuation at the source. */
   const takeSource = (run: ActiveRun, move: Move, detail: string) => {
     const { source } = move;
     move.source = undefined;
--- a/packages/migration/src/standbyKeeper.ts
+++ b/packages/migration/src/standbyKeeper.ts
@@ -72,6 +72,7 @@
   /** The copy in progress. There is one at a time, so that the links are free when an engine leaves. */
   let inProgress: Readonly<{ run: ActiveRun; done: Promise<void> }> | undefined;
 
+  /** Frees the run's copy, if there is one. */
   const release = (run: ActiveRun, detail: string) => {
     const standby = standbys.get(run);
     if (!standby) return;
@@ -84,13 +85,14 @@
   };
 
   /** Returns the run's copy; releases it if its own engine may get no new work, since the run could not continue there. */
-  const findKept = (run: ActiveRun): KeptStandby | undefined => {
+  const findUsableStandby = (run: ActiveRun): KeptStandby | undefined => {
     const standby = standbys.get(run);
     if (!standby || deps.mayTake(standby.copy.server, run)) return standby;
     release(run, "its target may get no new runs");
     return undefined;
   };
 
+  /** Copies the run to the target; returns whether that succeeded. */
   const copyTo = async (
     run: ActiveRun,
     target: BackendServer,
@@ -124,7 +126,7 @@
   const isStillAt = (run: ActiveRun, from: BackendServer) =>
     deps.listRuns().includes(run) && run.getServer().entry.id === from.entry.id;
 
-  const begin = async (run: ActiveRun) => {
+  const createStandby = async (run: ActiveRun) => {
     const target = deps.findTarget(run);
     if (!target) return;
     const from = run.getServer();
@@ -139,7 +141,7 @@
       release(run, "the run ended or moved before its copy was complete");
   };
 
-  const update = async (run: ActiveRun, standby: KeptStandby) => {
+  const updateStandby = async (run: ActiveRun, standby: KeptStandby) => {
     if (!deps.isExposed(run)) {
       release(run, "the run could now be copied in time without it");
       return;
@@ -150,19 +152,20 @@
       release(run, "it could not be updated");
   };
 
-  const findDue = (run: ActiveRun): (() => Promise<void>) | undefined => {
-    const standby = findKept(run);
-    if (!standby) return deps.isExposed(run) ? () => begin(run) : undefined;
+  /** Returns the copy or update that is due for the run; undefined if there is none. */
+  const findDueCopy = (run: ActiveRun): (() => Promise<void>) | undefined => {
+    const standby = findUsableStandby(run);
+    if (!standby) return deps.isExposed(run) ? () => createStandby(run) : undefined;
     const age = clock.monotonic() - standby.keptAt;
     const isDue = age >= deps.getCopyLife(run) - REFRESH_MARGIN_MS;
-    return isDue ? () => update(run, standby) : undefined;
+    return isDue ? () => updateStandby(run, standby) : undefined;
   };
 
   const checkRuns = async () => {
     if (isChecking) return;
     isChecking = true;
     for (const run of deps.listRuns()) {
-      const done = findDue(run)?.();
+      const done = findDueCopy(run)?.();
       if (!done) continue;
       inProgress = { run, done };
       await done;
@@ -186,7 +189,7 @@
         await inProgress.done;
         awaitedRuns.delete(run);
       }
-      const standby = findKept(run);
+      const standby = findUsableStandby(run);
       standbys.delete(run);
       return standby;
     },
--- a/packages/migration/src/types.ts
+++ b/packages/migration/src/types.ts
@@ -1,4 +1,4 @@
-/** Calls to engines, as an interface without the wire format, which the platform folder implements. */
+/** The calls to engines, independent of their wire format. The platform folder implements them. */
 import type { Ms, Result } from "@stairgauge/common";
 import type { ServerAddress } from "@stairgauge/directory";
 import type { EngineReport } from "@stairgauge/placement";
