--- a/packages/forwarding/src/activeRuns.ts
+++ b/packages/forwarding/src/activeRuns.ts
@@ -1,4 +1,4 @@
-/** Streams that this box relays, by request and by the server that makes them. */
+/** The streams that this box relays. */
 import type { RegionName } from "@stairgauge/common";
 import type { BackendServer, ServerId } from "@stairgauge/directory";
 import type { Demand } from "@stairgauge/placement";
@@ -7,43 +7,44 @@
 import type { StreamRelay } from "./streamRelay.js";
 import type { ClientRequestId, RunMemory } from "./types.js";
 
-/** One stream under way. */
+/** One stream in progress. */
 export type ActiveRun = Readonly<{
   id: ClientRequestId;
   route: Route;
-  /** Regions whose servers alone may go on with it; all where absent. */
+  /** Regions in which the run may continue; all if undefined. */
   regions?: readonly RegionName[] | undefined;
+  /** The current server; between two servers, the previous one. */
   getServer: () => BackendServer;
-  /** Whether its first event has come. */
+  /** Whether its first event has arrived. */
   hasBegun: () => boolean;
   getEventsMade: () => number;
-  /** Tokens that it holds at its engine, as far as this box can tell. */
+  /** Estimated tokens in the engine's memory: the prompt and the output so far. */
   getTokens: () => number;
-  /** Tokens that are expected to come yet, by the client's guess. */
+  /** Expected remaining output tokens, by the client's estimate. */
   getTokensLeft: () => number;
 }>;
 
-/** Where a stream goes on whose server ended it. */
+/** The server at which an interrupted stream continues, and the memory to continue from. */
 export type RunContinuation = Readonly<{ server: BackendServer; memory: RunMemory }>;
 
-/** What another part of the system does for runs. */
+/** Moves and recovers runs; receives what happens to them. */
 export type RunKeeper = Readonly<{
   onBegun: (run: ActiveRun) => void;
-  /** The server ended the stream before its end; resolves with where it goes on, if anywhere. */
+  /** The stream was interrupted; resolves with where it continues, undefined if nowhere. */
   recover: (run: ActiveRun, detail: string) => Promise<RunContinuation | undefined>;
-  /** The continuation was let in (or not, and why). */
+  /** The server accepted the continuation, or it failed. */
   onContinued: (run: ActiveRun, outcome: ContinuationOutcome) => void;
   onFinished: (run: ActiveRun) => void;
 }>;
 
-/** How an attempt to go on elsewhere ended. */
+/** Result of an attempt to continue a run at another server. */
 export type ContinuationOutcome = Readonly<
   | { kind: "goes_on" }
   | { kind: "refused"; status: number }
   | { kind: "broken"; detail: string }
 >;
 
-/** The runs of one box. */
+/** The active runs of one box. */
 export type ActiveRuns = Readonly<{
   add: (run: ActiveRun) => void;
   remove: (run: ActiveRun) => void;
@@ -52,20 +53,21 @@
   count: () => number;
 }>;
 
-/** What a stream under way is made of. */
-export type ActiveRunParts = Readonly<{
+/** What `createActiveRun` needs. */
+export type ActiveRunOptions = Readonly<{
   id: ClientRequestId;
   route: Route;
   demand: Demand;
   relay: Pick<StreamRelay, "hasBegun" | "getEvents">;
-  /** The server that makes it now; none while it is between two. */
+  /** The current server; undefined while the stream is between two servers. */
   findServer: () => BackendServer | undefined;
+  /** The server that started the run. */
   first: BackendServer;
 }>;
 
-/** Creates the view of a stream that those who move it have. */
-export const createActiveRun = (parts: ActiveRunParts): ActiveRun => {
-  const { id, route, demand, relay, findServer, first } = parts;
+/** Creates the record of a stream. */
+export const createActiveRun = (options: ActiveRunOptions): ActiveRun => {
+  const { id, route, demand, relay, findServer, first } = options;
   let server = first;
   const getMade = () => relay.getEvents() * TOKENS_PER_EVENT;
   return {
--- a/packages/forwarding/src/answerHead.testkit.ts
+++ b/packages/forwarding/src/answerHead.testkit.ts
@@ -1,8 +1,8 @@
-/** A server's answer head as tests need one. */
-import { NO_SIGNS } from "@stairgauge/signals";
+/** Answer heads for tests. */
+import { NO_SIGNALS } from "@stairgauge/signals";
 import type { AnswerHead } from "./types.js";
 
-/** Makes the head of a sound answer with a length, with the changes given. */
+/** Creates the head of a valid answer with a length, with the given changes. */
 export const makeAnswerHead = (changes: Partial<AnswerHead> = {}): AnswerHead => ({
   status: 200,
   requestId: undefined,
@@ -11,7 +11,7 @@
   isOtherServer: false,
   server: undefined,
   startedAt: undefined,
-  signs: NO_SIGNS,
+  signs: NO_SIGNALS,
   isEncoded: false,
   contentLength: 2,
   isUnframed: false,
--- a/packages/forwarding/src/answerSink.ts
+++ b/packages/forwarding/src/answerSink.ts
@@ -1,43 +1,44 @@
 /**
- * Takes the answer of one attempt: holds it, passes it on, or hands its events to the stream's relay, and says how it ended.
- * The client's answer is written to from here for this attempt's bytes only.
+ * Receives the answer of one attempt: buffers it, forwards it to the client, or passes its events to the
+ * stream's relay, and reports how it ended.
  */
 import { assertNever } from "@stairgauge/common";
 import type { ServerPresence } from "./askServer.js";
 import { countBytesLeft, type Attempt } from "./attempt.js";
-import { isBodyNeeded, isStreamOf, judgeAttempt } from "./decideNext.js";
+import { isBodyNeeded, isStreamOf, decideVerdict } from "./decideNext.js";
 import type { AdmittedRequest } from "./forwarderTypes.js";
-import { judgeEnd, judgeEndBy, type EndProof } from "./judgeEnd.js";
+import { classifyEnd, classifyEndByPresence, type EndProof } from "./classifyEnd.js";
 import type { EndedBy, ExchangeSink } from "./openExchange.js";
 import type { SegmentStep, StreamRelay } from "./streamRelay.js";
 import type { AnswerHead, ExchangeFailure, HeadCodec } from "./types.js";
 
-/** An answer longer than this is passed on as it comes, since it cannot be held. */
+/** Largest answer that is buffered; a longer one is forwarded as it arrives. */
 const HELD_ANSWER_BYTES = 512 * 1024;
 
-/** What the dispatch of the request is told of an attempt; at most one of the last three comes, once. */
+/** Callbacks of an attempt; at most one of `onWhole`, `onFailure` and `onNoStream` is called, once. */
 export type AttemptListener = Readonly<{
-  /** Whether the attempt still counts; what comes later is dropped. */
+  /** Whether the attempt is still the request's current one; if not, the rest of its answer is ignored. */
   isCurrent: () => boolean;
   onHead: (head: AnswerHead) => void;
   onStreamBegun: () => void;
-  /** A long answer goes out from now on. */
+  /** A long answer is forwarded from now on. */
   onPassingOn: () => void;
-  /** The answer came whole: by its framing, or because its server's process is still there. */
+  /** The answer is complete, by its framing or because its server's process still runs. */
   onWhole: () => void;
   onFailure: (failure: ExchangeFailure) => void;
-  /** The attempt was to go on with a stream that has begun, and answers with something else. */
+  /** The attempt had to continue a started stream, but its answer is something else. */
   onNoStream: () => void;
 }>;
 
-/** What taking an answer needs. */
+/** Options of the sink. */
 export type AnswerSinkOptions = Readonly<{
   codec: HeadCodec;
   request: AdmittedRequest;
   relay: StreamRelay;
   attempt: Attempt;
+  /** Whether the attempt's server gets no new work because it is about to stop. */
   isLeaving: () => boolean;
-  /** Asks whether the server is still there; undefined where it cannot be asked. */
+  /** Sends a health check to the server; resolves with undefined if it has no health path. */
   askServer: () => Promise<ServerPresence | undefined>;
   listener: AttemptListener;
 }>;
@@ -51,17 +52,17 @@
     if (isClientSlow) attempt.exchange?.pause();
   };
 
-  const takeHead = (answerHead: AnswerHead, reason: string) => {
+  const handleHead = (answerHead: AnswerHead, reason: string) => {
     attempt.head = answerHead;
     attempt.reason = reason;
     listener.onHead(answerHead);
     if (isStreamOf(request, answerHead)) {
-      const leg = relay.beginSegment(answerHead.passedOn, reason);
-      attempt.body = { kind: "stream", leg };
+      const segment = relay.beginSegment(answerHead.passedOn, reason);
+      attempt.body = { kind: "stream", segment };
       listener.onStreamBegun();
       return;
     }
-    // Nothing but events may follow events: what refuses to go on with a stream is not read.
+    // Only events may follow events, so any other answer to a continuation is not read.
     if (relay.hasBegun()) listener.onNoStream();
   };
 
@@ -72,7 +73,8 @@
   };
   const startPassingOn = (parts: readonly Buffer[]) => {
     const answerHead = attempt.head!;
-    if (judgeAttempt({ kind: "answered", head: answerHead }, head.id) !== "final") return;
+    if (decideVerdict({ kind: "answered", head: answerHead }, head.id) !== "final")
+      return;
     listener.onPassingOn();
     const { status, passedOn } = answerHead;
     answer.begin({ status, reason: attempt.reason, headers: passedOn });
@@ -80,7 +82,7 @@
     applyPace(!answer.write(Buffer.concat(parts)));
   };
 
-  const takeData = (chunk: Buffer) => {
+  const handleData = (chunk: Buffer) => {
     const { body } = attempt;
     switch (body.kind) {
       case "held":
@@ -90,13 +92,13 @@
         applyPace(!answer.write(chunk));
         return;
       case "stream":
-        takeStep(body.leg.push(chunk));
+        handleStep(body.segment.push(chunk));
         return;
       default:
         assertNever(body);
     }
   };
-  const takeStep = (step: SegmentStep) => {
+  const handleStep = (step: SegmentStep) => {
     switch (step.kind) {
       case "held":
         return;
@@ -117,18 +119,18 @@
     }
   };
 
-  const takeEnd = (endedBy: EndedBy) => {
+  const handleEnd = (endedBy: EndedBy) => {
     attempt.endedBy = endedBy;
-    const proof = judgeEnd({
+    const proof = classifyEnd({
       endedBy,
       isBodyNeeded: isBodyNeeded(attempt.head!, head.id),
       isStream: attempt.body.kind === "stream",
       bytesLeft: countBytesLeft(attempt),
       isLeaving: options.isLeaving(),
     });
-    takeProof(proof);
+    applyProof(proof);
   };
-  const takeProof = (proof: EndProof) => {
+  const applyProof = (proof: EndProof) => {
     switch (proof.kind) {
       case "whole":
         listener.onWhole();
@@ -144,21 +146,21 @@
     }
   };
   const confirmEnd = async () => {
-    const sign = await options.askServer();
-    if (listener.isCurrent()) takeProof(judgeEndBy(sign));
+    const presence = await options.askServer();
+    if (listener.isCurrent()) applyProof(classifyEndByPresence(presence));
   };
 
-  const makeGuarded =
-    <Args extends readonly unknown[]>(take: (...args: Args) => void) =>
+  const wrapIfCurrent =
+    <Args extends readonly unknown[]>(handle: (...args: Args) => void) =>
     (...args: Args) => {
-      if (listener.isCurrent()) take(...args);
+      if (listener.isCurrent()) handle(...args);
     };
   return {
-    onHead: makeGuarded((status, raw, reason) =>
-      takeHead(codec.decodeAnswer(status, raw), reason),
+    onHead: wrapIfCurrent((status, raw, reason) =>
+      handleHead(codec.decodeAnswer(status, raw), reason),
     ),
-    onData: makeGuarded(takeData),
-    onEnd: makeGuarded(takeEnd),
-    onFailure: makeGuarded(listener.onFailure),
+    onData: wrapIfCurrent(handleData),
+    onEnd: wrapIfCurrent(handleEnd),
+    onFailure: wrapIfCurrent(listener.onFailure),
   };
 };
--- a/packages/forwarding/src/askServer.test.ts
+++ b/packages/forwarding/src/askServer.test.ts
@@ -1,7 +1,7 @@
 /**
- * A server's process that was killed or replaced closes its connections in order, like one that has said all. What its
- * address says right after tells them apart, and only an answer of the same server speaks for it: a process that is
- * ending may still take a connection, and resets it.
+ * The connections of a killed or replaced process close normally, as if its answers were complete. A
+ * health check right afterwards shows whether the process still runs. Only an answer of the same server
+ * counts: a dying process may still accept a connection and then reset it.
  */
 import { createServer, type AddressInfo, type Socket } from "node:net";
 import { afterEach, describe, expect, it } from "vitest";
@@ -19,12 +19,12 @@
   for (const close of closers.splice(0)) await close();
 });
 
-const listen = async (takeCall: (socket: Socket) => void) => {
+const listen = async (handleCall: (socket: Socket) => void) => {
   const sockets = new Set<Socket>();
   const server = createServer((socket) => {
     sockets.add(socket);
     socket.on("error", () => undefined);
-    socket.once("data", () => takeCall(socket));
+    socket.once("data", () => handleCall(socket));
   });
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
   const close = () => {
@@ -57,8 +57,8 @@
     connectLimit: 5_000 as Ms,
   });
 
-const askOne = async (takeCall: (socket: Socket) => void) => {
-  const { address, close } = await listen(takeCall);
+const askOne = async (handleCall: (socket: Socket) => void) => {
+  const { address, close } = await listen(handleCall);
   closers.push(close);
   return await ask(address);
 };
@@ -67,7 +67,7 @@
 
 describe("askServer", () => {
   it.each(["200 OK", "503 Service Unavailable"])(
-    "hears a server that answers %s",
+    "reports a server as present that answers with %s",
     async (status) => {
       expect(await askOne(sendAnswer(status, ASKED))).toMatchObject({ kind: "present" });
     },
@@ -76,18 +76,21 @@
   it.each([
     ["200 OK", "server-2"],
     ["421 Misdirected Request", ASKED],
-  ])("hears another server at its address by %s of %s", async (status, server) => {
-    expect(await askOne(sendAnswer(status, server))).toMatchObject({
-      kind: "absent",
-      cause: "ended",
-    });
-  });
+  ])(
+    "reports the server as ended if its address answers %s as %s",
+    async (status, server) => {
+      expect(await askOne(sendAnswer(status, server))).toMatchObject({
+        kind: "absent",
+        cause: "ended",
+      });
+    },
+  );
 
   it.each([
     ["the same start", String(STARTED_AT), "present"],
-    ["a later one", String(STARTED_AT + 5), "absent"],
-    ["none", "", "present"],
-  ])("hears which start answers by its name: %s", async (_what, body, kind) => {
+    ["a later start", String(STARTED_AT + 5), "absent"],
+    ["no start", "", "present"],
+  ])("compares the stated start of the process: %s", async (_what, body, kind) => {
     const { address, close } = await listen((socket) =>
       socket.end(
         `HTTP/1.1 200 OK\r\nServer: ${ASKED}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
@@ -97,7 +100,7 @@
     expect(await ask(address, undefined, STARTED_AT)).toMatchObject({ kind });
   });
 
-  it("goes by the head of an answer whose body does not end", async () => {
+  it("decides by the head if the body does not end", async () => {
     const { address, close } = await listen((socket) => {
       socket.write(`HTTP/1.1 200 OK\r\nServer: ${ASKED}\r\nContent-Length: 9\r\n\r\n`);
       socket.end();
@@ -106,12 +109,16 @@
     expect(await ask(address, undefined, STARTED_AT)).toMatchObject({ kind: "present" });
   });
 
-  it("takes a connection that is taken and reset for no answer", async () => {
-    const sign = await askOne((socket) => void socket.resetAndDestroy());
-    expect(sign).toEqual({ kind: "absent", cause: "not_heard", detail: "ECONNRESET" });
+  it("reports no answer if the connection is accepted and then reset", async () => {
+    const presence = await askOne((socket) => void socket.resetAndDestroy());
+    expect(presence).toEqual({
+      kind: "absent",
+      cause: "not_heard",
+      detail: "ECONNRESET",
+    });
   });
 
-  it("hears that nobody listens any more", async () => {
+  it("reports the server as ended if nothing listens on its port", async () => {
     const { address, close } = await listen(() => undefined);
     await close();
     expect(await ask(address)).toEqual({
@@ -121,7 +128,7 @@
     });
   });
 
-  it("gives up after its limit", async () => {
+  it("reports no answer after the timeout", async () => {
     const clock: Clock = {
       ...createSystemClock(),
       setTimer: (_after, run) => {
--- a/packages/forwarding/src/askServer.ts
+++ b/packages/forwarding/src/askServer.ts
@@ -1,53 +1,62 @@
-/** Asks a server whether it is still there, by its health path: another process at its address says who it is. */
+/**
+ * Sends a health check to a server's address to find out whether the same server process still runs
+ * there. Another process at the address identifies itself in its answer.
+ */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { ServerEntry } from "@stairgauge/directory";
 import type { ServerSignals } from "@stairgauge/signals";
 import { openExchange } from "./openExchange.js";
 import type { AnswerHead, HeadCodec } from "./types.js";
 
-/** What was heard: an answer of the server itself, or whatever says less. */
+/** Result of a health check: an answer of the expected server, or anything else. */
 export type ServerPresence = Readonly<
   | {
       kind: "present";
-      /** Its start, where it says so. */
+      /** When the server's process started; undefined if the answer does not state it. */
       startedAt: Ms | undefined;
-      /** What it says of itself. */
-      signs: ServerSignals;
+      /** Signals that the answer carries. */
+      signals: ServerSignals;
     }
   | { kind: "absent"; cause: AbsenceCause; detail: string }
 >;
 
-/** Why a server is taken as absent: it has ended, as something at its address shows, or nothing was heard of it. */
+/**
+ * Why a server counts as absent. `ended`: its address proves it (another server answers, or nothing
+ * listens); `not_heard`: it gave no valid answer.
+ */
 export type AbsenceCause = "ended" | "not_heard";
 
-/** Longest that an answer is waited for: a health path waits for a slot like a request, at most as long as the slowest ones take. */
+/**
+ * Timeout of the health check. It waits for a slot at the server like a request, at most as long as
+ * the slowest requests take.
+ */
 const ANSWER_LIMIT_MS = 1_000 as Ms;
 
-/** Bytes of an answer's body that are read; what a server says of itself comes first. */
+/** Largest number of body bytes that are read; the server's start is at the beginning. */
 const MAX_BODY_BYTES = 4_096;
 
-/** Whom to ask, and how. */
+/** The server to check, and what the check needs. */
 export type ServerQuestion = Readonly<{
   clock: Clock;
   codec: Pick<HeadCodec, "encodeHealthCall" | "decodeAnswer" | "decodeHealthBody">;
   entry: Pick<ServerEntry, "name" | "address" | "startedAt">;
   healthPath: string;
-  /** How long a connection may take to come up. */
+  /** Timeout for establishing the connection. */
   connectLimit: Ms;
 }>;
 
-/** Error of a connection to a machine on which nothing listens at the address. */
+/** Error code if the host is up but nothing listens on the port. */
 const REFUSED_CODE = "ECONNREFUSED";
 
-/** Makes what is heard of a server that is not there. */
+/** Creates the result for an absent server. */
 export const makeAbsent = (detail: string, cause: AbsenceCause): ServerPresence => ({
   kind: "absent",
   cause,
   detail,
 });
 
-/** A server that has started again answers by the same name, and knows nothing of what ran there before. */
-const judgeAnswer = (
+/** A restarted server has the same name but has lost all its runs, so it counts as absent. */
+const classifyAnswer = (
   entry: ServerQuestion["entry"],
   answer: AnswerHead,
   startedAt: Ms | undefined,
@@ -55,13 +64,13 @@
   const isOther = answer.server !== undefined && answer.server !== entry.name;
   if (answer.isOtherServer || isOther)
     return makeAbsent("another server has its address", "ended");
-  const isTold = startedAt !== undefined && entry.startedAt !== undefined;
-  if (isTold && startedAt !== entry.startedAt)
+  const areStartsKnown = startedAt !== undefined && entry.startedAt !== undefined;
+  if (areStartsKnown && startedAt !== entry.startedAt)
     return makeAbsent("it has started again", "ended");
-  return { kind: "present", startedAt, signs: answer.signs };
+  return { kind: "present", startedAt, signals: answer.signs };
 };
 
-/** Resolves with what is heard first; a body that does not end in time leaves it at the head. */
+/** Resolves with the result; if the body does not end in time, the head alone decides. */
 export const askServer = (question: ServerQuestion): Promise<ServerPresence> =>
   new Promise((resolve) => {
     const { clock, codec, entry, healthPath, connectLimit } = question;
@@ -72,11 +81,11 @@
       exchange.cancel();
       resolve(presence);
     };
-    const judgeHeard = (heard: AnswerHead) =>
-      judgeAnswer(entry, heard, heard.startedAt ?? codec.decodeHealthBody(body));
-    const finishBy = (detail: string) => {
+    const classifyReceived = (received: AnswerHead) =>
+      classifyAnswer(entry, received, received.startedAt ?? codec.decodeHealthBody(body));
+    const finishEarly = (detail: string) => {
       const cause = detail === REFUSED_CODE ? "ended" : "not_heard";
-      finish(answer ? judgeHeard(answer) : makeAbsent(detail, cause));
+      finish(answer ? classifyReceived(answer) : makeAbsent(detail, cause));
     };
     const exchange = openExchange(
       clock,
@@ -92,15 +101,15 @@
         onHead: (status, raw) => {
           answer = codec.decodeAnswer(status, raw);
           const isEnough = answer.isOtherServer || answer.startedAt !== undefined;
-          if (isEnough || entry.startedAt === undefined) finish(judgeHeard(answer));
+          if (isEnough || entry.startedAt === undefined) finish(classifyReceived(answer));
         },
         onData: (chunk) => {
           body = Buffer.concat([body, chunk]);
-          if (body.length > MAX_BODY_BYTES) finishBy("an answer too long");
+          if (body.length > MAX_BODY_BYTES) finishEarly("an answer too long");
         },
-        onEnd: () => finishBy("no answer"),
-        onFailure: ({ detail }) => finishBy(detail),
+        onEnd: () => finishEarly("no answer"),
+        onFailure: ({ detail }) => finishEarly(detail),
       },
     );
-    const timer = clock.setTimer(ANSWER_LIMIT_MS, () => finishBy("no answer in time"));
+    const timer = clock.setTimer(ANSWER_LIMIT_MS, () => finishEarly("no answer in time"));
   });
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at one server, as far as it has come. */
+/** State of one attempt: a request that is sent to one server. */
 import type { Ms, Timer } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import type { Demand } from "@stairgauge/placement";
@@ -7,34 +7,35 @@
 import type { StreamSegment } from "./streamRelay.js";
 import type { AnswerHead, RawHeaders } from "./types.js";
 
-/** Where the body of an attempt's answer goes; nothing of it reaches the client by another way. */
+/** How the body of an attempt's answer is delivered to the client. */
 export type AttemptBody = Readonly<
-  /** It is held back until it is whole; `parts` grows. */
+  /** The body is buffered in `parts` until it is complete. */
   | { kind: "held"; parts: Buffer[] }
-  /** It is too long to be held and goes out as it comes. */
+  /** The body is too long to buffer; chunks are forwarded as they arrive. */
   | { kind: "passed_on" }
-  /** Whole events go out. */
-  | { kind: "stream"; leg: StreamSegment }
+  /** Complete events are forwarded. */
+  | { kind: "stream"; segment: StreamSegment }
 >;
 
-/** The attempt's state; only the dispatch that made it changes it. */
+/** One attempt; changed only by the dispatch that created it and by the sink of its answer. */
 export type Attempt = {
   readonly server: BackendServer;
   readonly openedAt: Ms;
   exchange: Exchange | undefined;
   head: AnswerHead | undefined;
-  /** When the head came. */
+  /** When the head arrived; undefined until then. */
   answeredAt: Ms | undefined;
-  /** Events that the client had before. */
+  /** Events of the stream that the client received before this attempt. */
   readonly eventsBefore: number;
+  /** HTTP reason phrase of the answer; empty until its head arrives. */
   reason: string;
-  /** What ended the answer, once it has ended without an error. */
+  /** What ended the answer; undefined until it has ended without an error. */
   endedBy: EndedBy | undefined;
   body: AttemptBody;
   heldBytes: number;
-  /** Gives its place at the server back. */
+  /** Frees the server's slot. */
   readonly release: () => void;
-  /** Runs until the server answers. */
+  /** Watches for a server that sends no answer head; undefined if the attempt is not watched. */
   silence: Timer | undefined;
 };
 
@@ -59,11 +60,11 @@
   silence: undefined,
 });
 
-/** Bytes of an event that the attempt's server has begun and not ended. */
+/** Bytes of an incomplete event that the server has started to send. */
 export const countBytesLeft = ({ body }: Attempt): number =>
-  body.kind === "stream" ? body.leg.countBytesLeft() : 0;
+  body.kind === "stream" ? body.segment.countBytesLeft() : 0;
 
-/** Sends the answer that was held back, as its server gave it, with headers of the system's own. */
+/** Sends the buffered answer unchanged, with additional headers of the box. */
 export const sendHeldAnswer = (
   answer: Pick<ClientAnswer, "sendWhole">,
   { head, reason, body }: Attempt,
@@ -75,7 +76,10 @@
   answer.sendWhole({ status, reason, headers }, Buffer.concat(parts));
 };
 
-/** Whether its server works on the request: on a generation once it answers, on a plain request as soon as it is sent. */
+/**
+ * Whether the server is processing the request: a generation once its answer head has arrived, a plain
+ * request as soon as it is sent.
+ */
 export const isAtWork = (
   { head }: Pick<Attempt, "head">,
   { tokens }: Pick<Demand, "tokens">,
--- a/packages/forwarding/src/buildExchangeRequest.ts
+++ b/packages/forwarding/src/buildExchangeRequest.ts
@@ -1,4 +1,4 @@
-/** What a server is sent for a request: the client's own head and body, with what only the system may set. */
+/** Builds what is sent to a server: the client's head and body, with the headers that the box sets itself. */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import type { Demand } from "@stairgauge/placement";
@@ -6,15 +6,15 @@
 import type { ExchangeRequest } from "./openExchange.js";
 import type { DispatchTerms } from "./types.js";
 
-/** What differs from attempt to attempt. */
+/** What differs between the attempts of a request. */
 export type AttemptTerms = Readonly<{
   server: BackendServer;
   demand: Demand;
-  /** Where the attempt goes on; nowhere for a first one. */
+  /** Where a started stream continues; undefined for an attempt from the beginning. */
   continuation?: DispatchTerms["continuation"];
 }>;
 
-/** Builds the request for one attempt; the time left is counted from now. */
+/** Builds the request of one attempt, with the time left from now on. */
 export const buildExchangeRequest = (
   { codec, connectLimit }: Pick<ForwarderDeps, "codec" | "connectLimit">,
   clock: Clock,
--- a/packages/forwarding/src/checkJoin.ts
+++ b/packages/forwarding/src/checkJoin.ts
@@ -1,34 +1,36 @@
 /**
- * Whether the first event of a server that goes on with a stream follows the last one that its client has. Pure.
+ * Checks whether the first event of a server that continues a stream follows the client's last event.
+ * Pure.
  *
- * Ids are texts to us: the protocol says only that they rise. What this stream itself has shown of them is held
- * against the next one, and nothing more; bytes are never changed, a server whose event doesn't follow is left.
+ * Ids are opaque strings; the protocol guarantees only that they rise. The next id is checked against
+ * the pattern of this stream's own ids and nothing else. Bytes are never changed: a server whose event
+ * does not follow is abandoned.
  */
 
-/** What a stream's ids were like so far. */
+/** The ids of a stream so far. */
 export type IdSequence = Readonly<{
-  /** Id of the first event that was passed on, by which a server that begins anew is known. */
+  /** Id of the first event; a server that sends it again has restarted the stream. */
   first: string | undefined;
-  /** Id of the last event that was passed on; undefined when it had none. */
+  /** Id of the last forwarded event; undefined if it had none. */
   last: string | undefined;
-  /** How the ids rose: by one from each event to the next, in another way, or not seen yet. */
+  /** How the ids rise: by one per event, in another way, or unknown so far. */
   rise: "unseen" | "by_one" | "otherwise";
-  /** Whether the client has an event at all. */
+  /** Whether the client has received any event. */
   hasBegun: boolean;
 }>;
 
-/** What a join looks like. */
+/** Result of the check. */
 export type JoinVerdict =
-  /** The event follows, as far as its id can tell. */
+  /** The event follows, as far as its id shows. */
   | "follows"
-  /** The client has this event, or one behind it. */
+  /** The client already has this event or a later one. */
   | "repeats"
-  /** Events between the two are left out. */
+  /** Events in between are missing. */
   | "skips"
-  /** Nothing tells where the event stands. */
+  /** The id does not show the event's position. */
   | "unknown";
 
-/** Whole numbers as servers write them; longer ones would lose their last figures. */
+/** Integers without leading zeros; longer ones would lose precision as a number. */
 const WHOLE_NUMBER = /^(0|[1-9]\d{0,14})$/;
 
 const toNumber = (id: string | undefined): number | undefined =>
@@ -37,15 +39,15 @@
 const isNext = (last: string | undefined, next: string | undefined): boolean =>
   toNumber(next) === (toNumber(last) ?? NaN) + 1;
 
-/** Creates the sequence of a stream of which the client has nothing, or the event that it named itself. */
-export const createIdSequence = (asked: string | undefined): IdSequence => ({
-  first: asked,
-  last: asked,
+/** Creates the sequence of a new stream, or of one that the client resumes after the event `resumeAfter`. */
+export const createIdSequence = (resumeAfter: string | undefined): IdSequence => ({
+  first: resumeAfter,
+  last: resumeAfter,
   rise: "unseen",
-  hasBegun: asked !== undefined,
+  hasBegun: resumeAfter !== undefined,
 });
 
-/** Adds the id of an event that is passed on; undefined for one that has none. */
+/** Adds the id of a forwarded event; undefined if it has none. */
 export const addId = (sequence: IdSequence, id: string | undefined): IdSequence => {
   const { first, last, rise, hasBegun } = sequence;
   if (!hasBegun) return { first: id, last: id, rise, hasBegun: true };
@@ -53,11 +55,11 @@
   return { first, last: id, rise: isByOne ? "by_one" : "otherwise", hasBegun };
 };
 
-/** What a header's value may hold; an id of other characters could not be sent. */
+/** Characters allowed in a header value; an id with others cannot be sent in a request. */
 const FITS_HEADER = /^[\t\x20-\x7e\x80-\xff]+$/;
 
-/** Whether a server can be told where to go on: the last event that the client has can be named. */
-export const canName = ({ last, hasBegun }: IdSequence): boolean =>
+/** Whether a request can state the position to continue from: the last event has an id that fits a header. */
+export const canContinueAfter = ({ last, hasBegun }: IdSequence): boolean =>
   !hasBegun || (last !== undefined && FITS_HEADER.test(last));
 
 /** Checks the id of a continuation's first event. */
--- /dev/null
+++ b/packages/forwarding/src/classifyEnd.test.ts
@@ -0,0 +1,62 @@
+import { describe, expect, it } from "vitest";
+import { NO_SIGNALS } from "@stairgauge/signals";
+import { classifyEnd, classifyEndByPresence, type EndedAnswer } from "./classifyEnd.js";
+
+const makeEnded = (changes: Partial<EndedAnswer>): EndedAnswer => ({
+  endedBy: "connection",
+  isBodyNeeded: true,
+  isStream: true,
+  bytesLeft: 0,
+  isLeaving: false,
+  ...changes,
+});
+
+describe("classifyEnd", () => {
+  it("treats an end by framing as complete unless it is within an event", () => {
+    for (const isLeaving of [false, true]) {
+      const ended = makeEnded({ endedBy: "framing", isLeaving });
+      expect(classifyEnd(ended)).toEqual({ kind: "whole" });
+      expect(classifyEnd({ ...ended, bytesLeft: 7 }).kind).toBe("cut");
+    }
+  });
+
+  it("needs no proof if the body is not needed", () => {
+    const refusal = makeEnded({ isStream: false, isBodyNeeded: false });
+    expect(classifyEnd(refusal)).toEqual({ kind: "whole" });
+  });
+
+  it("never treats a closed connection alone as complete", () => {
+    for (const isStream of [false, true])
+      for (const bytesLeft of [0, 7])
+        for (const isLeaving of [false, true])
+          expect(
+            classifyEnd(makeEnded({ isStream, bytesLeft, isLeaving })).kind,
+          ).not.toBe("whole");
+  });
+
+  it("treats a stream as truncated if it ends within an event or at a leaving server", () => {
+    expect(classifyEnd(makeEnded({ bytesLeft: 1 })).kind).toBe("cut");
+    expect(classifyEnd(makeEnded({ isLeaving: true })).kind).toBe("cut");
+    expect(classifyEnd(makeEnded({})).kind).toBe("unproven");
+    expect(classifyEnd(makeEnded({ isStream: false, isLeaving: true })).kind).toBe(
+      "unproven",
+    );
+  });
+});
+
+describe("classifyEndByPresence", () => {
+  it("treats an answer as complete unless a health check finds its server absent", () => {
+    const present = {
+      kind: "present",
+      startedAt: undefined,
+      signals: NO_SIGNALS,
+    } as const;
+    expect(classifyEndByPresence(present)).toEqual({ kind: "whole" });
+    expect(classifyEndByPresence(undefined)).toEqual({ kind: "whole" });
+    const absent = { kind: "absent", cause: "ended", detail: "ECONNREFUSED" } as const;
+    expect(classifyEndByPresence(absent)).toEqual({
+      kind: "cut",
+      detail: "connection ended, and its server is not known to live: ECONNREFUSED",
+    });
+  });
+});
--- /dev/null
+++ b/packages/forwarding/src/classifyEnd.ts
@@ -0,0 +1,48 @@
+/**
+ * Decides whether an answer that has ended is complete. A length or chunks mark its end reliably. A
+ * closed connection does not: the kernel also closes the connections of a killed process normally, at
+ * any point of an answer. A stream that ends within an event is incomplete in any case. Pure.
+ */
+import type { ServerPresence } from "./askServer.js";
+import type { EndedBy } from "./openExchange.js";
+
+/** An answer that has ended without an error. */
+export type EndedAnswer = Readonly<{
+  endedBy: EndedBy;
+  /** Whether the next step depends on the body, not on the head alone. */
+  isBodyNeeded: boolean;
+  /** Whether the answer is a stream that is forwarded event by event. */
+  isStream: boolean;
+  /** Bytes of the incomplete last event. */
+  bytesLeft: number;
+  /** Whether the server is about to stop, so that it may have stopped the run on request. */
+  isLeaving: boolean;
+}>;
+
+/** Whether the answer is complete. */
+export type EndProof = Readonly<
+  | { kind: "whole" }
+  | { kind: "cut"; detail: string }
+  /** Complete if the server's process still runs; a health check decides. */
+  | { kind: "unproven" }
+>;
+
+/** Classifies an end by what was received. */
+export const classifyEnd = (ended: EndedAnswer): EndProof => {
+  if (ended.bytesLeft > 0) return { kind: "cut", detail: "ended within an event" };
+  if (ended.endedBy === "framing" || !ended.isBodyNeeded) return { kind: "whole" };
+  if (!ended.isStream) return { kind: "unproven" };
+  if (ended.isLeaving)
+    return { kind: "cut", detail: "connection ended without an end of the stream" };
+  return { kind: "unproven" };
+};
+
+/**
+ * Classifies an unproven end by a health check right after it. `undefined` means that the server has
+ * no health path; its answer then counts as complete.
+ */
+export const classifyEndByPresence = (presence: ServerPresence | undefined): EndProof => {
+  if (!presence || presence.kind === "present") return { kind: "whole" };
+  const detail = `connection ended, and its server is not known to live: ${presence.detail}`;
+  return { kind: "cut", detail };
+};
--- a/packages/forwarding/src/clientAnswer.ts
+++ b/packages/forwarding/src/clientAnswer.ts
@@ -1,19 +1,19 @@
-/** The one answer to one client: written through here only, once, and never made to look whole when it is not. */
+/** The answer to one client. It is sent at most once, and an incomplete answer never looks complete. */
 import type { ServerResponse } from "node:http";
 import type { RawHeaders } from "./types.js";
 
-/** An answer that goes out with one head and one end. */
+/** An answer with one head and one end. */
 export type ClientAnswer = Readonly<{
   hasBegun: () => boolean;
   isOver: () => boolean;
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   sendWhole: (head: WholeHead, body: Buffer) => void;
   /** Sends the head of an answer whose body follows. */
   begin: (head: WholeHead) => void;
-  /** Sends bytes of the body; false when the client reads slower than they come. */
+  /** Sends bytes of the body; false if the client reads too slowly and the write buffer is full. */
   write: (bytes: Buffer) => boolean;
   end: () => void;
-  /** Breaks the connection off, so that what was sent cannot be taken for whole. */
+  /** Breaks the connection, so that the client cannot take the answer as complete. */
   break: () => void;
   onDrain: (listener: () => void) => void;
 }>;
@@ -30,8 +30,8 @@
   response: ServerResponse,
   isLastOnConnection: () => boolean,
 ): ClientAnswer => {
-  // A client of HTTP/1.0 knows no chunks: its answer ends with the connection, and only a reset tells a broken one apart.
-  const knowsChunks = response.req.httpVersion !== "1.0";
+  // HTTP/1.0 has no chunks: an answer ends when the connection closes, so a broken one needs a reset.
+  const supportsChunks = response.req.httpVersion !== "1.0";
   let hasBegun = false;
   let isOver = false;
   response.sendDate = false;
@@ -56,7 +56,7 @@
     },
     begin: (head) => {
       if (hasBegun || isOver) return;
-      writeHead(head, knowsChunks ? ["Transfer-Encoding", "chunked"] : []);
+      writeHead(head, supportsChunks ? ["Transfer-Encoding", "chunked"] : []);
       response.flushHeaders();
     },
     write: (bytes) => isOver || response.write(bytes),
@@ -68,7 +68,7 @@
     break: () => {
       if (isOver) return;
       isOver = true;
-      if (!knowsChunks) response.socket?.resetAndDestroy();
+      if (!supportsChunks) response.socket?.resetAndDestroy();
       response.destroy();
     },
     onDrain: (listener) => void response.on("drain", listener),
--- a/packages/forwarding/src/clientServer.ts
+++ b/packages/forwarding/src/clientServer.ts
@@ -1,38 +1,42 @@
-/** The listener for clients: bounds on heads, times and idle connections, and a stop that cuts nothing. */
+/** The HTTP server for clients, with limits on head size, head time and idle connections. */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { ClientLimits } from "@stairgauge/routing";
 
-/** Bounds until a configuration is known; from the users' pages. */
+/** Limits until a configuration is loaded; the defaults in the platform's documentation. */
 const DEFAULT_HEADER_MS = 3_000;
 const DEFAULT_IDLE_MS = 15_000;
 
-/** Largest head that the parser takes at all; the configured bound is checked on top. */
+/** Largest head that the parser accepts; the configured limit is checked in addition. */
 const PARSER_HEAD_BYTES = 64 * 1024;
 
-/** How often open connections are checked against the time limits. */
+/** How often the time limits of open connections are checked. */
 const CHECK_INTERVAL_MS = 500;
 
-/** Clients take up a connection that rested for up to 4/5 of the idle time; ours closes later than all of it. */
+/**
+ * Added to the idle timeout. Clients reuse a connection that was idle for up to 4/5 of the timeout, so
+ * the server must not close it before.
+ */
 const IDLE_MARGIN_MS = 1_000;
 
-/** How soon a vanished client's connection is probed. */
+/** Idle time after which TCP keep-alive probes detect a client that has vanished. */
 const KEEPALIVE_MS = 1_000;
 
-/** Where and what to serve. */
+/** Options of the client server. */
 export type ClientServerOptions = Readonly<{
   handle: (incoming: IncomingMessage, response: ServerResponse) => void;
-  /** Connections taken at once; one beyond them is closed unread. */
+  /** Largest number of open connections; further ones are closed unread. */
   mostConnections: number;
-  /** A client sent bytes that are no request. */
+  /** A client sent an invalid request, or its connection was dropped; `code` is the error code. */
   onClientFault: (code: string) => void;
 }>;
 
-/** A listener for clients. */
+/** The HTTP server for clients. */
 export type ClientServer = Readonly<{
+  /** Resolves with the port; rejects if the server cannot listen. */
   listen: (host: string, port: number) => Promise<number>;
   applyLimits: (limits: ClientLimits) => void;
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close: () => void;
 }>;
 
@@ -47,7 +51,7 @@
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
 
-const answerFault = (socket: Socket, code: string) => {
+const rejectMalformed = (socket: Socket, code: string) => {
   if (!socket.writable || code === "ECONNRESET") {
     socket.destroy();
     return;
@@ -56,7 +60,7 @@
   socket.end(`HTTP/1.1 ${line}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
 };
 
-/** Creates the listener. */
+/** Creates the server; it does not listen yet. */
 export const createClientServer = (options: ClientServerOptions): ClientServer => {
   let headBytes = PARSER_HEAD_BYTES;
   const server = createServer(
@@ -84,7 +88,7 @@
   server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
     const code = error.code ?? "unknown";
     options.onClientFault(code);
-    answerFault(socket as Socket, code);
+    rejectMalformed(socket as Socket, code);
   });
 
   return {
--- a/packages/forwarding/src/computeClientConnections.ts
+++ b/packages/forwarding/src/computeClientConnections.ts
@@ -1,17 +1,20 @@
-/** How many connections of clients a process takes, given the descriptors that it may have open. Pure. */
+/** How many client connections a process accepts, given its limit of open file descriptors. Pure. */
 
-/** Kept for files, listeners, the store, other boxes and the engines' reports; the users' pages keep 200 for files. */
-const KEPT_DESCRIPTORS = 400;
+/**
+ * Descriptors reserved for files, listeners, the store, other boxes and the engines' reports. The
+ * platform's documentation reserves 200 of them for files.
+ */
+const RESERVED_DESCRIPTORS = 400;
 
-/** A client's connection may need one to a server beside it. */
-const DESCRIPTORS_EACH = 2;
+/** Each client connection may need one connection to a server. */
+const DESCRIPTORS_PER_CLIENT = 2;
 
-/** Connections taken even where the limit is very low. */
+/** Connections accepted even if the descriptor limit is very low. */
 const MIN_CONNECTIONS = 16;
 
-/** Computes the bound; a connection beyond it is closed unread, so that its client finds another box. */
+/** Computes the limit; a connection beyond it is closed unread, so that the client tries another box. */
 export const computeClientConnections = (descriptors: number): number =>
   Math.max(
     MIN_CONNECTIONS,
-    Math.floor((descriptors - KEPT_DESCRIPTORS) / DESCRIPTORS_EACH),
+    Math.floor((descriptors - RESERVED_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT),
   );
--- a/packages/forwarding/src/computeDemand.ts
+++ b/packages/forwarding/src/computeDemand.ts
@@ -1,23 +1,23 @@
-/** What a request needs of a server, by what its client declares. Pure. */
+/** Computes what a request needs at a server, from what its client declares. Pure. */
 import type { RegionName } from "@stairgauge/common";
 import type { Demand } from "@stairgauge/placement";
 import type { Route, WorkspaceSpec } from "@stairgauge/routing";
 import { mayRepeat } from "./decideNext.js";
 import type { AdmittedRequest } from "./forwarderTypes.js";
 
-/** Tokens of an event when the configuration does not say; from the users' sites. */
+/** Tokens per event of a stream, as measured at the operators' sites; the configuration does not state it. */
 export const TOKENS_PER_EVENT = 4;
 
-/** Tokens expected of a generation whose client gives no guess: a short answer. */
+/** Expected output tokens if the client gives no estimate: a short answer. */
 const DEFAULT_EXPECTED_TOKENS = 64;
 
-/** What a rank follows from. */
+/** Inputs of `computeTier`. */
 export type RankedRequest = Readonly<{
   workspace?: Pick<WorkspaceSpec, "tier"> | undefined;
   route: Pick<Route, "tier">;
 }>;
 
-/** Regions that both lists allow; all where neither is given. */
+/** Regions allowed by both the route and the workspace; undefined (all) if neither restricts them. */
 const computeRegions = (
   { regions: ofRoute }: Pick<Route, "regions">,
   ofWorkspace: readonly RegionName[] | undefined,
@@ -26,11 +26,11 @@
   return ofRoute.filter((region) => ofWorkspace.includes(region));
 };
 
-/** Rank of a request, 0 first: its workspace's goes before its route's. */
+/** Priority of a request, 0 is the highest: its workspace's tier, else its route's. */
 export const computeTier = ({ workspace, route }: RankedRequest): number =>
   workspace?.tier ?? route.tier;
 
-/** Computes the demand; only a generation with declared tokens needs memory. */
+/** Computes the demand; `tokens` is set only for a generation whose client declares its tokens. */
 export const computeDemand = ({
   head,
   route,
--- a/packages/forwarding/src/computeRetryAfter.ts
+++ b/packages/forwarding/src/computeRetryAfter.ts
@@ -1,8 +1,11 @@
-/** When a client whose request has not run should come back. Pure. */
+/** When a client whose request has not run should retry. Pure. */
 import type { Ms } from "@stairgauge/common";
 import type { PlacementDecision } from "@stairgauge/placement";
 
-/** Works it out from where the request could go now: where no server takes it, no sooner than one is expected to; at least `pause`. */
+/**
+ * Computes the retry delay from a placement decision: at least `pause`, and if no server accepts the
+ * request now, at least the time until one is expected to.
+ */
 export const computeRetryAfter = (decision: PlacementDecision, pause: Ms): Ms => {
   const wait = decision.kind === "no_server" ? (decision.retryAfter ?? 0) : 0;
   return Math.max(wait, pause) as Ms;
--- a/packages/forwarding/src/computeSlackShare.test.ts
+++ b/packages/forwarding/src/computeSlackShare.test.ts
@@ -3,11 +3,11 @@
 import { computeSlackShare } from "./computeSlackShare.js";
 
 describe("computeSlackShare", () => {
-  it("spends nothing while it does not know how many share", () => {
+  it("returns 0 while the number of boxes is unknown", () => {
     expect(computeSlackShare(54, 0)).toBe(0);
   });
 
-  it("stays within the common slack while a fifth more boxes run than each has seen", () => {
+  it("keeps the sum of all shares within the slack if 20 % more boxes run than are listed", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 400 }),
--- a/packages/forwarding/src/computeSlackShare.ts
+++ b/packages/forwarding/src/computeSlackShare.ts
@@ -1,12 +1,12 @@
-/** This box's part of the repeats that all boxes together may spend beyond the share of requests. Pure. */
+/** This box's share of the retry slack: the retries that all boxes together may spend beyond the retry ratio. Pure. */
 
-/** Boxes that may be there without being listed yet, or be listed late, for each that is. */
+/** Running boxes assumed for each listed one, and in addition: new boxes are listed with a delay. */
 const UNLISTED_FACTOR = 1.25;
 const UNLISTED_BOXES = 2;
 
 /**
- * Divides the common slack. A box that has not seen the list of boxes yet spends none of it: how many
- * others there are is unknown.
+ * Computes this box's share of the slack. A box that has not read the list of boxes gets none: the
+ * number of the others is unknown.
  */
-export const computeSlackShare = (slack: number, mostBoxesSeen: number): number =>
-  mostBoxesSeen === 0 ? 0 : slack / (mostBoxesSeen * UNLISTED_FACTOR + UNLISTED_BOXES);
+export const computeSlackShare = (slack: number, maxBoxesSeen: number): number =>
+  maxBoxesSeen === 0 ? 0 : slack / (maxBoxesSeen * UNLISTED_FACTOR + UNLISTED_BOXES);
--- a/packages/forwarding/src/createDigest.ts
+++ b/packages/forwarding/src/createDigest.ts
@@ -1,8 +1,8 @@
-/** The digest of one admitted request, worked out when it is first asked for: hardly any request ever needs one. */
+/** Computes the digest of an admitted request on first use, as hardly any request needs one. */
 import { hashRequest, type RequestDigest } from "@stairgauge/crashes";
 import type { AdmittedRequest } from "./forwarderTypes.js";
 
-/** Creates the function that gives the digest. */
+/** Creates the function that returns the digest. */
 export const createDigest = ({
   head,
   body,
--- a/packages/forwarding/src/createForwarder.ts
+++ b/packages/forwarding/src/createForwarder.ts
@@ -1,4 +1,4 @@
-/** Takes clients' requests: reads them, lets them in or refuses them at once, and dispatches them. */
+/** Handles clients' requests: reads them, admits or refuses them, and dispatches those admitted. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Ms, ServiceName } from "@stairgauge/common";
 import {
@@ -14,12 +14,12 @@
 import { fitsBeforeStop } from "./fitsBeforeStop.js";
 import { readRequestBody } from "./readRequestBody.js";
 import { sendOwnAnswer } from "./sendOwnAnswer.js";
-import { createServerEnds } from "./serverEnds.js";
+import { createCrashDetector } from "./crashDetector.js";
 
-/** Bound on a body while no configuration is known. */
+/** Largest request body until a configuration is loaded. */
 const DEFAULT_BODY_BYTES = 4 * 1024 * 1024;
 
-/** Another box takes the request at once: the client only has to open a connection. */
+/** Retry delay while this box stops: another box takes the request as soon as the client connects to it. */
 const OTHER_BOX_AFTER_MS = 20 as Ms;
 
 const STATUS_OF_REFUSAL: Readonly<Record<AccessRefusal, number>> = {
@@ -34,12 +34,12 @@
 export type Forwarder = Readonly<{
   handle: (incoming: IncomingMessage, response: ServerResponse) => void;
   /**
-   * Every further answer is the last of its connection, and what would not be through by `endsAt` is
-   * refused: its client finds another box at once.
+   * Prepares for the stop of the box at `endsAt`: every further answer closes its connection, and
+   * requests that would not finish by `endsAt` are refused so that their clients try another box.
    */
   announceStop: (endsAt: Ms) => void;
   countOpen: () => number;
-  /** Ends the tries of requests that go to no server any more. */
+  /** Ends requests that have been blocked because servers crashed while running them. */
   stopBlocked: () => void;
 }>;
 
@@ -47,12 +47,12 @@
 export const createForwarder = (deps: ForwarderDeps): Forwarder => {
   const { clock, codec, configuration, placer, random } = deps;
   const askServer = createServerAsker(deps);
-  const serverEnds = createServerEnds({
+  const crashDetector = createCrashDetector({
     clock,
     ask: askServer,
     isLeaving: placer.isLeaving,
   });
-  const dispatchDeps: DispatchDeps = { ...deps, askServer, serverEnds };
+  const dispatchDeps: DispatchDeps = { ...deps, askServer, crashDetector };
   let stop: Readonly<{ announcedAt: Ms; endsAt: Ms }> | undefined;
   const calls = new Set<DispatchedCall>();
   let open = 0;
@@ -80,10 +80,10 @@
     let route: Route | undefined;
     const refuse = (status: number, reason: RefusalReason, pause = deps.retryAfter) => {
       const retryAfter = status === 503 ? pause : undefined;
-      const own = { status, reason, retryAfter };
-      sendOwnAnswer(deps, { head, route, answer, receivedAt }, own);
+      const ownAnswer = { status, reason, retryAfter };
+      sendOwnAnswer(deps, { head, route, answer, receivedAt }, ownAnswer);
     };
-    const tellClientLeft = () => {
+    const reportClientLeft = () => {
       const sinceReceived = (clock.monotonic() - receivedAt) as Ms;
       const subject = { head, route: undefined, sinceReceived };
       deps.observer.onDecision(subject, {
@@ -104,7 +104,7 @@
       open -= 1;
       heldBytes -= held;
       hasLeft = true;
-      call?.clientLeft();
+      call?.onClientLeft();
       if (call) calls.delete(call);
     });
 
@@ -119,7 +119,7 @@
       const now = clock.monotonic();
       const access = decideAccess(
         configuration.getIndex(),
-        configuration.getServerStatus(),
+        configuration.getFreshness(),
         {
           host: head.host,
           path: head.target,
@@ -157,7 +157,7 @@
 
     void readRequestBody(incoming, limit).then((read) => {
       if (hasLeft) {
-        tellClientLeft();
+        reportClientLeft();
         return;
       }
       if (read.ok) {
@@ -165,7 +165,7 @@
         return;
       }
       if (read.val.kind === "client_left") {
-        tellClientLeft();
+        reportClientLeft();
         return;
       }
       refuseLongBody();
@@ -179,7 +179,7 @@
     },
     countOpen: () => open,
     stopBlocked: () => {
-      for (const one of [...calls]) one.stopIfBlocked();
+      for (const call of [...calls]) call.stopIfBlocked();
     },
   };
 };
--- a/packages/forwarding/src/createOwnAnswers.ts
+++ b/packages/forwarding/src/createOwnAnswers.ts
@@ -1,4 +1,4 @@
-/** Final answers of the system's own to one request; what comes after its end is dropped. */
+/** Final answers that the box generates itself for one request; ignored once the request has ended. */
 import type { Ms } from "@stairgauge/common";
 import type { PlacementDecision } from "@stairgauge/placement";
 import { computeRetryAfter } from "./computeRetryAfter.js";
@@ -10,8 +10,8 @@
   type ReasonedAnswer,
 } from "./sendOwnAnswer.js";
 
-/** What they are made of. */
-export type OwnAnswersParts = Readonly<{
+/** Options of the answers. */
+export type OwnAnswersOptions = Readonly<{
   deps: Pick<ForwarderDeps, "clock" | "codec" | "observer" | "retryAfter">;
   request: AdmittedRequest;
   isOver: () => boolean;
@@ -19,37 +19,37 @@
   finish: () => void;
 }>;
 
-/** A choice that found no server. */
+/** A placement decision that found no server. */
 export type NoServerDecision = Extract<PlacementDecision, { kind: "no_server" }>;
 
 /** Creates the answers of one request. */
-export const createOwnAnswers = (parts: OwnAnswersParts) => {
-  const { deps, request, isOver, finish } = parts;
-  const answerOwn = (own: ReasonedAnswer) => {
+export const createOwnAnswers = (options: OwnAnswersOptions) => {
+  const { deps, request, isOver, finish } = options;
+  const sendAndFinish = (ownAnswer: ReasonedAnswer) => {
     if (isOver()) return;
-    sendOwnAnswer(deps, request, own);
+    sendOwnAnswer(deps, request, ownAnswer);
     finish();
   };
   const answerNotRun = (reason: RefusalReason, detail?: string) =>
-    answerOwn({ status: 503, reason, detail, retryAfter: deps.retryAfter });
+    sendAndFinish({ status: 503, reason, detail, retryAfter: deps.retryAfter });
 
   return {
-    /** It has not run, and may come back. */
+    /** The request has not run; the client may retry it. */
     answerNotRun,
-    /** Nothing is promised. */
+    /** The request may have run. */
     answerUnknown: (reason: RefusalReason, detail?: string) =>
-      answerOwn({ status: 502, reason, detail, retryAfter: undefined }),
+      sendAndFinish({ status: 502, reason, detail, retryAfter: undefined }),
     answerOutOfTime: () =>
-      answerOwn({ status: 504, reason: "out_of_time", retryAfter: undefined }),
-    /** It has not run; where it is known when a server takes it, it may come back then. */
+      sendAndFinish({ status: 504, reason: "out_of_time", retryAfter: undefined }),
+    /** The request has not run; the retry delay is the decision's, if it has one. */
     answerNoServer: (decision: NoServerDecision) =>
-      answerOwn({
+      sendAndFinish({
         status: 503,
         reason: REFUSAL_OF_NO_SERVER[decision.reason],
         retryAfter: computeRetryAfter(decision, deps.retryAfter),
       }),
-    /** It goes to no server for so long. */
-    answerBlocked: (left: Ms, mayHaveRun: boolean) =>
-      answerOwn(makeBlockedAnswer(left, mayHaveRun)),
+    /** The request is blocked for another `remaining`. */
+    answerBlocked: (remaining: Ms, mayHaveRun: boolean) =>
+      sendAndFinish(makeBlockedAnswer(remaining, mayHaveRun)),
   };
 };
--- a/packages/forwarding/src/createServerAsker.ts
+++ b/packages/forwarding/src/createServerAsker.ts
@@ -1,18 +1,18 @@
-/** Asks a backend server whether the start of it that a box knows is still there. */
+/** Checks whether the process of a backend server that the box has on record still runs. */
 import type { BackendServer } from "@stairgauge/directory";
 import { askServer, makeAbsent, type ServerPresence } from "./askServer.js";
 import type { ForwarderDeps } from "./forwarderTypes.js";
 
-/** Resolves with what was heard; undefined for a server that has no health path to be asked at. */
+/** Resolves with the result of a health check; undefined for a server without a health path. */
 export type ServerAsker = (server: BackendServer) => Promise<ServerPresence | undefined>;
 
-/** What asking needs. */
+/** Dependencies of the check. */
 export type ServerAskerDeps = Pick<
   ForwarderDeps,
-  "clock" | "codec" | "configuration" | "connectLimit" | "placer" | "takeSigns"
+  "clock" | "codec" | "configuration" | "connectLimit" | "placer" | "dispatchSignals"
 >;
 
-/** Creates the asker. */
+/** Creates the check. */
 export const createServerAsker =
   (deps: ServerAskerDeps): ServerAsker =>
   async (server) => {
@@ -22,14 +22,17 @@
     if (service?.healthPath === undefined) return undefined;
     const { healthPath } = service;
     if (!placer.takeAsk(server))
-      return makeAbsent("it rests, and is not asked", "not_heard");
-    const heard = await askServer({ clock, codec, entry, healthPath, connectLimit });
-    if (heard.kind === "absent") return heard;
-    deps.takeSigns({ server, signals: heard.signs, source: { kind: "health" } });
-    const isStartUnsaid = heard.startedAt === undefined && entry.startedAt !== undefined;
-    if (!isStartUnsaid || !service.engine) return heard;
-    // An engine's report tells its start where its health answer does not.
+      return makeAbsent(
+        "it asked for a backoff, so no health check was sent",
+        "not_heard",
+      );
+    const health = await askServer({ clock, codec, entry, healthPath, connectLimit });
+    if (health.kind === "absent") return health;
+    deps.dispatchSignals({ server, signals: health.signals, source: { kind: "health" } });
+    const isStartUnsaid = health.startedAt === undefined && entry.startedAt !== undefined;
+    if (!isStartUnsaid || !service.engine) return health;
+    // If an engine's health answer does not state its start, its report does.
     return (await placer.isAlive(server))
-      ? heard
+      ? health
       : makeAbsent("its report is not its own", "not_heard");
   };
--- a/packages/forwarding/src/decideNext.test.ts
+++ b/packages/forwarding/src/decideNext.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it, vi } from "vitest";
 import type { Ms, ServiceName } from "@stairgauge/common";
 import type { Route, RouteName } from "@stairgauge/routing";
-import { decideNext, judgeAttempt, type AttemptEnd } from "./decideNext.js";
+import { decideNext, decideVerdict, type AttemptEnd } from "./decideNext.js";
 import { makeAnswerHead } from "./answerHead.testkit.js";
 import type { AnswerHead, ClientRequestId } from "./types.js";
 
@@ -63,7 +63,7 @@
 ) =>
   decideNext({
     end: ENDS[name],
-    verdict: judgeAttempt(ENDS[name], id),
+    verdict: decideVerdict(ENDS[name], id),
     route,
     mayHaveRunBefore: ranBefore,
     takeRetry: () => canRetry,
@@ -85,12 +85,15 @@
     ["unreachable", "retry", "retry"],
     ["broken", "answer_unknown", "retry"],
     ["malformed", "answer_unknown", "retry"],
-  ] as const)("after %s: once %s, repeatable %s", (name, once, repeatable) => {
-    expect(step(name, makeRoute("once"), true)).toBe(once);
-    expect(step(name, makeRoute("stream"), true)).toBe(once);
-    expect(step(name, makeRoute("repeatable"), true)).toBe(repeatable);
-    expect(step(name, makeRoute("stream", true), true)).toBe(repeatable);
-  });
+  ] as const)(
+    "after %s: on a once route %s, on a repeatable route %s",
+    (name, once, repeatable) => {
+      expect(step(name, makeRoute("once"), true)).toBe(once);
+      expect(step(name, makeRoute("stream"), true)).toBe(once);
+      expect(step(name, makeRoute("repeatable"), true)).toBe(repeatable);
+      expect(step(name, makeRoute("stream", true), true)).toBe(repeatable);
+    },
+  );
 
   it.each([
     ["full", "pass_on"],
@@ -98,7 +101,7 @@
     ["unreachable", "answer_not_run"],
     ["broken", "answer_unknown"],
     ["error", "pass_on"],
-  ] as const)("after %s with no other server: %s", (name, expected) => {
+  ] as const)("after %s without another server: %s", (name, expected) => {
     expect(step(name, makeRoute("once"), false)).toBe(expected);
   });
 
@@ -109,16 +112,19 @@
     ["error", "once"],
     ["broken", "once"],
     ["broken", "stream"],
-  ] as const)("takes nothing from the budget after %s on a route %s", (name, kind) => {
-    const takeRetry = vi.fn(() => true);
-    const end = ENDS[name];
-    const verdict = judgeAttempt(end, id);
-    const route = makeRoute(kind);
-    decideNext({ end, verdict, route, mayHaveRunBefore: false, takeRetry });
-    expect(takeRetry).not.toHaveBeenCalled();
-  });
+  ] as const)(
+    "takes nothing from the retry budget after %s on a %s route",
+    (name, kind) => {
+      const takeRetry = vi.fn(() => true);
+      const end = ENDS[name];
+      const verdict = decideVerdict(end, id);
+      const route = makeRoute(kind);
+      decideNext({ end, verdict, route, mayHaveRunBefore: false, takeRetry });
+      expect(takeRetry).not.toHaveBeenCalled();
+    },
+  );
 
-  it("promises nothing about a request of which an earlier attempt may have run", () => {
+  it("answers unknown if an earlier attempt may have run", () => {
     expect(step("full", makeRoute("once"), false, true)).toBe("answer_unknown");
     expect(step("unreachable", makeRoute("once"), false, true)).toBe("answer_unknown");
   });
--- a/packages/forwarding/src/decideNext.ts
+++ b/packages/forwarding/src/decideNext.ts
@@ -1,4 +1,7 @@
-/** What follows an attempt at a server: the answer is passed on, another server is tried, or the system answers itself. Pure. */
+/**
+ * Decides what follows an attempt: its answer is forwarded, another server is tried, or the box answers
+ * itself. Pure.
+ */
 import type { Route } from "@stairgauge/routing";
 import type { ContinuationOutcome } from "./activeRuns.js";
 import type { Attempt } from "./attempt.js";
@@ -9,52 +12,55 @@
   RequestHead,
 } from "./types.js";
 
-/** How one attempt ended before anything of it went to the client. */
+/** How an attempt ended of which nothing was forwarded to the client. */
 export type AttemptEnd = Readonly<
   | {
       kind: "answered";
       head: AnswerHead;
-      /** The head alone was judged: its body may be cut, and is not to be passed on. */
+      /** Only the head was evaluated: the body may be truncated and must not be forwarded. */
       isBodyUnproven?: boolean;
     }
   | { kind: "failed"; failure: ExchangeFailure }
 >;
 
-/** What an attempt's end says of the request. */
+/** What an attempt's end proves about the request. */
 export type Verdict =
-  /** The server's answer goes to the client as it is. */
+  /** The server's answer is forwarded to the client unchanged. */
   | "final"
   /** The server did not run the request and never will. */
   | "not_run"
-  /** It may have run; the answer is no use to the client. */
+  /** The request may have run; the answer must not be forwarded. */
   | "may_have_run"
-  /** It ran and failed; the answer may be passed on. */
+  /** The request ran and failed; the answer may be forwarded. */
   | "ran_and_failed";
 
-/** What is done next. */
+/** The next step. */
 export type NextStep = Readonly<
   | { kind: "pass_on" }
   | { kind: "retry"; reason: Verdict }
-  /** The request has not run: the client may come back. */
+  /** The request has not run: the client may retry. */
   | { kind: "answer_not_run" }
-  /** Nothing is promised. */
+  /** The request may have run: the answer promises nothing. */
   | { kind: "answer_unknown" }
 >;
 
-/** Statuses by which the system promises that a request has not run. */
-const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/**
+ * Statuses by which a client may conclude that its request has not run. A server's answer with one of
+ * them is not forwarded unless the server states that it did not run the request.
+ */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 const isSuccess = (status: number) => status >= 200 && status < 300;
 
-/** Whether the answer is the server's own, whole in its head, and to this request. */
+/** Whether the answer belongs to this request and was not changed on its way. */
 const isTrustworthy = (head: AnswerHead, id: ClientRequestId | undefined): boolean => {
   if (head.requestId !== undefined && head.requestId !== id) return false;
   if (head.isEncoded) return false;
   return !isSuccess(head.status) || head.isSigned;
 };
 
-/** Judges an attempt by what it can prove. */
-export const judgeAttempt = (
+/** Decides what an attempt's end proves. */
+export const decideVerdict = (
   end: AttemptEnd,
   id: ClientRequestId | undefined,
 ): Verdict => {
@@ -63,44 +69,44 @@
   const { head } = end;
   if (!isTrustworthy(head, id)) return "may_have_run";
   if (head.isNotRun || head.isOtherServer) return "not_run";
-  if (PROMISING_STATUSES.has(head.status)) return "may_have_run";
+  if (NOT_RUN_STATUSES.has(head.status)) return "may_have_run";
   return head.status >= 500 ? "ran_and_failed" : "final";
 };
 
-/** Whether a server says that it had no room for the request: another may have some. */
+/** Whether the server rejected the request for lack of capacity; another server may have some. */
 export const isTurnedAway = ({ status, isNotRun }: AnswerHead): boolean =>
   status === 503 && isNotRun;
 
-/** Whether a server's answer, once whole, is the request's own and a success. */
+/** Whether the answer, once complete, belongs to the request and is a success. */
 export const isServed = (head: AnswerHead, id: ClientRequestId | undefined): boolean =>
-  isSuccess(head.status) && judgeAttempt({ kind: "answered", head }, id) === "final";
+  isSuccess(head.status) && decideVerdict({ kind: "answered", head }, id) === "final";
 
-/** Whether what follows rests on the body: a refusal, and an answer that is no use, are judged by their head. */
+/** Whether the next step depends on the body; for a rejection or an unusable answer the head is enough. */
 export const isBodyNeeded = (
   head: AnswerHead,
   id: ClientRequestId | undefined,
 ): boolean => {
-  const verdict = judgeAttempt({ kind: "answered", head }, id);
+  const verdict = decideVerdict({ kind: "answered", head }, id);
   return verdict === "final" || verdict === "ran_and_failed";
 };
 
-/** Nobody was asked whether the body is whole: it ended with its connection, and its head says enough. */
+/** Whether the body ended with its connection and was not checked for completeness, as the head was enough. */
 export const isBodyUnproven = (
   { endedBy, head }: Pick<Attempt, "endedBy" | "head">,
   id: ClientRequestId | undefined,
 ): boolean => endedBy === "connection" && !isBodyNeeded(head!, id);
 
-/** What the one who keeps runs alive is told of an attempt to go on with one that failed. */
-export const toOutcome = (end: AttemptEnd): ContinuationOutcome =>
+/** Converts the end of a failed continuation to the outcome that is reported to the run keeper. */
+export const toContinuationOutcome = (end: AttemptEnd): ContinuationOutcome =>
   end.kind === "answered"
     ? { kind: "refused", status: end.head.status }
     : { kind: "broken", detail: end.failure.detail };
 
-/** Says how an attempt ended, for logs and reasons. */
+/** Describes how an attempt ended, for logs and error details. */
 export const describeEnd = (end: AttemptEnd): string =>
   end.kind === "answered" ? `status ${end.head.status}` : end.failure.detail;
 
-/** Whether an answer is the stream that the request asked for, passed on event by event. */
+/** Whether the answer is the event stream that the request asked for. */
 export const isStreamOf = (
   { head, route }: Readonly<{ head: RequestHead; route: Route }>,
   answer: AnswerHead,
@@ -108,20 +114,20 @@
   route.kind === "stream" &&
   answer.isEventStream &&
   answer.status === 200 &&
-  judgeAttempt({ kind: "answered", head: answer }, head.id) === "final";
+  decideVerdict({ kind: "answered", head: answer }, head.id) === "final";
 
-/** What the next step depends on beside the verdict. */
+/** Inputs of the decision. */
 export type StepInputs = Readonly<{
   end: AttemptEnd;
   verdict: Verdict;
   route: Route;
-  /** An attempt before this one may have run. */
+  /** An earlier attempt may have run. */
   mayHaveRunBefore: boolean;
-  /** Whether another server is there, and attempts, time and budget allow it; a yes takes from the budget. */
+  /** Whether another attempt is possible and allowed; true takes from the retry budget. */
   takeRetry: () => boolean;
 }>;
 
-/** Whether a request of the route may run again after one that may have run. */
+/** Whether a request of the route may run again after an attempt that may have run. */
 export const mayRepeat = (route: Route): boolean =>
   route.kind === "repeatable" || (route.kind === "stream" && route.isResumable);
 
--- a/packages/forwarding/src/describeBytesEnd.test.ts
+++ b/packages/forwarding/src/describeAnswerEnd.test.ts
@@ -2,9 +2,9 @@
 import type { Ms } from "@stairgauge/common";
 import {
   deriveFraming,
-  describeBytesEnd,
-  type BytesEndInputs,
-} from "./describeBytesEnd.js";
+  describeAnswerEnd,
+  type AnswerEndInputs,
+} from "./describeAnswerEnd.js";
 import { createEventSplitter } from "./eventSplitter.js";
 import { makeAnswerHead } from "./answerHead.testkit.js";
 import type { AnswerHead } from "./types.js";
@@ -13,7 +13,7 @@
   makeAnswerHead({ contentLength: undefined, isEventStream: true, ...changes });
 const UNFRAMED = makeHead({ isUnframed: true });
 
-const makeInputs = (changes: Partial<BytesEndInputs> = {}): BytesEndInputs => {
+const makeInputs = (changes: Partial<AnswerEndInputs> = {}): AnswerEndInputs => {
   const splitter = createEventSplitter();
   splitter.push(Buffer.from("id: 4\ndata: a\n\nid: 5\nda"));
   return {
@@ -22,10 +22,10 @@
     closing: { kind: "answered", head: makeHead() },
     relay: {
       getLastEventId: splitter.getLastEventId,
-      countBytesLeft: splitter.countRest,
+      countBytesLeft: splitter.countPendingBytes,
     },
     continuations: 0,
-    standing: { kind: "ready", age: undefined },
+    status: { kind: "ready", age: undefined },
     ...changes,
   };
 };
@@ -36,15 +36,15 @@
     ["length", { contentLength: 0 }],
     ["chunks", {}],
     ["connection", { isUnframed: true }],
-  ])("says %s for %j", (framing, changes) => {
+  ])("returns %s for %j", (framing, changes) => {
     expect(deriveFraming(makeHead(changes))).toBe(framing);
   });
 });
 
-describe("describeBytesEnd", () => {
-  it("tells what was held of the stream and known of its server", () => {
-    const standing = { kind: "leaving", age: 250 as Ms } as const;
-    expect(describeBytesEnd(makeInputs({ continuations: 2, standing }))).toEqual({
+describe("describeAnswerEnd", () => {
+  it("includes the state of the stream and the status of the server", () => {
+    const status = { kind: "leaving", age: 250 as Ms } as const;
+    expect(describeAnswerEnd(makeInputs({ continuations: 2, status }))).toEqual({
       framing: "chunks",
       closed: "by_framing",
       lastEventId: "4",
@@ -55,7 +55,7 @@
     });
   });
 
-  it.each<[string, Partial<BytesEndInputs>]>([
+  it.each<[string, Partial<AnswerEndInputs>]>([
     [
       "in_order",
       {
@@ -69,20 +69,20 @@
       { closing: { kind: "failed", failure: { kind: "broken", detail: "ECONNRESET" } } },
     ],
     ["left_open", { closing: { kind: "left_open" } }],
-  ])("says %s by how the bytes ended", (closed, changes) => {
-    expect(describeBytesEnd(makeInputs(changes)).closed).toBe(closed);
+  ])("describes how the answer ended: %s", (closed, changes) => {
+    expect(describeAnswerEnd(makeInputs(changes)).closed).toBe(closed);
   });
 
-  it("says of an answer that ended with its head that it had no body", () => {
+  it("returns framing none for an answer that ended with its head", () => {
     const closing = { kind: "answered", head: UNFRAMED } as const;
-    expect(describeBytesEnd(makeInputs({ head: UNFRAMED, closing }))).toMatchObject({
+    expect(describeAnswerEnd(makeInputs({ head: UNFRAMED, closing }))).toMatchObject({
       framing: "none",
       closed: "by_framing",
     });
   });
 
-  it("has no framing where no head came", () => {
-    const { framing } = describeBytesEnd(makeInputs({ head: undefined }));
+  it("has no framing if no head arrived", () => {
+    const { framing } = describeAnswerEnd(makeInputs({ head: undefined }));
     expect(framing).toBeUndefined();
   });
 });
--- a/packages/forwarding/src/dispatchCall.ts
+++ b/packages/forwarding/src/dispatchCall.ts
@@ -1,6 +1,6 @@
 /**
- * Brings one admitted request to its end: chooses a server, sends it, judges what comes back, and goes
- * on with another attempt, another server for the same run, or the final answer.
+ * Dispatches one admitted request: chooses a server, sends the request, evaluates the answer, and then
+ * makes another attempt, continues the run at another server, or sends the final answer.
  */
 import { assertNever, type Ms, type Timer } from "@stairgauge/common";
 import type { BackendServer, ServerId } from "@stairgauge/directory";
@@ -13,7 +13,7 @@
 import { computeRetryAfter } from "./computeRetryAfter.js";
 import {
   createDispatchReports,
-  type LeftServer,
+  type PreviousServer,
   type PlacedDecision,
 } from "./createDispatchReports.js";
 import {
@@ -22,36 +22,36 @@
   isBodyUnproven,
   isServed,
   isTurnedAway,
-  judgeAttempt,
+  decideVerdict,
   mayRepeat,
-  toOutcome,
+  toContinuationOutcome,
   type AttemptEnd,
 } from "./decideNext.js";
 import { createOwnAnswers } from "./createOwnAnswers.js";
 import type { AdmittedRequest, DispatchDeps } from "./forwarderTypes.js";
 import { createCallGuard } from "./guardCall.js";
 import { openExchange } from "./openExchange.js";
-import { recordServerSigns } from "./recordServerSigns.js";
+import { recordServerSignals } from "./recordServerSignals.js";
 import { placeAgain, placeByAdvice, type PlaceableRequest } from "./placeByAdvice.js";
 import { computePlacingTerms } from "./placeWithRoom.js";
-import { createRequestTries, judgeTry } from "./requestTries.js";
+import { createRequestAttempts, classifyAttempt } from "./requestAttempts.js";
 import { createStreamRelay } from "./streamRelay.js";
 import type { AnswerHead, DispatchTerms, ExchangeFailure, RawHeaders } from "./types.js";
 import { watchSilence } from "./watchSilence.js";
 
-/** Continuations of one run after which it counts as lost. */
+/** Largest number of continuations of one run; after these it is not recovered any more. */
 const MAX_CONTINUATIONS = 12;
 
 const NONE_TRIED: ReadonlySet<ServerId> = new Set();
 
-/** A call that can be told of what happens elsewhere. */
+/** A dispatched request, with callbacks for outside events. */
 export type DispatchedCall = Readonly<{
-  clientLeft: () => void;
-  /** Ends the request if it goes to no server any more, and no server has begun to answer it. */
+  onClientLeft: () => void;
+  /** Ends the request if it has been blocked and no server is processing it. */
   stopIfBlocked: () => void;
 }>;
 
-/** Dispatches a request; it always ends in one final answer, or with the client gone. */
+/** Dispatches a request; it always ends with one final answer, or when the client disconnects. */
 export const dispatchCall = (
   deps: DispatchDeps,
   request: AdmittedRequest,
@@ -73,20 +73,20 @@
     current?.release();
     current = undefined;
   };
-  let leaveRoom = () => {};
+  let leaveQueue = () => {};
   const finish = () => {
     if (isOver) return;
     isOver = true;
-    leaveRoom();
+    leaveQueue();
     limitTimer.cancel();
     dropAttempt();
     if (!run) return;
     runs.remove(run);
     runKeeper.onFinished(run);
   };
-  const own = createOwnAnswers({ deps, request, isOver: () => isOver, finish });
-  const loseStream = (left: LeftServer, detail: string) => {
-    reports.tellStreamLost(left, detail);
+  const ownAnswers = createOwnAnswers({ deps, request, isOver: () => isOver, finish });
+  const failStream = (previous: PreviousServer, detail: string) => {
+    reports.reportStreamLost(previous, detail);
     answer.break();
     finish();
   };
@@ -94,21 +94,21 @@
     if (isOver) return;
     const hasBegun = answer.hasBegun();
     const mayRunStill = mayHaveRun || hasBegun || (current?.exchange?.isSent() ?? false);
-    reports.tellOutOfTime(current, mayRunStill);
+    reports.reportOutOfTime(current, mayRunStill);
     if (hasBegun) {
       answer.break();
       finish();
       return;
     }
-    if (mayRunStill) own.answerOutOfTime();
-    else own.answerNotRun("out_of_time_unsent");
+    if (mayRunStill) ownAnswers.answerOutOfTime();
+    else ownAnswers.answerNotRun("out_of_time_unsent");
   };
   const limitTimer: Timer = clock.setTimer((endsAt - getNow()) as Ms, endOutOfTime);
 
   const relay = createStreamRelay({
     clock,
     answer,
-    askedBehind: route.isResumable ? head.lastEventId : undefined,
+    resumeAfter: route.isResumable ? head.lastEventId : undefined,
     onFirstEvent: () => {
       if (current) placer.onRunBegun(current.server, head);
       if (run) runKeeper.onBegun(run);
@@ -124,9 +124,14 @@
     deps,
     request,
     countEvents: relay.getEvents,
-    tellBroke: reports.tellBroke,
+    reportBroken: reports.reportBroken,
+  });
+  const attempts = createRequestAttempts({
+    deps,
+    request,
+    demand,
+    mayRepeat: guard.mayRepeat,
   });
-  const tries = createRequestTries({ deps, request, demand, mayRepeat: guard.mayRepeat });
   answer.onDrain(() => current?.exchange?.resume());
 
   const startRun = () => {
@@ -169,13 +174,13 @@
       askServer: () => deps.askServer(server),
       listener: {
         isCurrent: () => current === attempt && !isOver,
-        onHead: (answerHead) => takeHead(attempt, answerHead),
-        onStreamBegun: () => takeStreamBegun(attempt),
+        onHead: (answerHead) => handleHead(attempt, answerHead),
+        onStreamBegun: () => handleStreamBegun(attempt),
         onPassingOn: () => {
           mayHaveRun = true;
         },
-        onWhole: () => endWhole(attempt),
-        onFailure: (failure) => takeFailure(attempt, failure),
+        onWhole: () => finishWhole(attempt),
+        onFailure: (failure) => handleFailure(attempt, failure),
         onNoStream: () => conclude(attempt, { kind: "answered", head: attempt.head! }),
       },
     });
@@ -183,7 +188,7 @@
     return attempt;
   };
 
-  /** The first attempt of a request that may run again is given up for another server's. */
+  /** Watches an attempt of a repeatable request, to give it up if its server does not answer. */
   const watchAttempt = (attempt: Attempt) => {
     if (!mayRepeat(route)) return undefined;
     return watchSilence({
@@ -191,26 +196,26 @@
       aim: route.firstAnswerAim,
       isGeneration: demand.tokens !== undefined,
       isAlive: () => placer.isAlive(attempt.server),
-      onSilent: () => leaveSilent(attempt),
+      onSilent: () => dropSilentAttempt(attempt),
     });
   };
-  const leaveSilent = (attempt: Attempt) => {
+  const dropSilentAttempt = (attempt: Attempt) => {
     if (current !== attempt || isOver) return;
     const wasSent = attempt.exchange?.isSent() ?? false;
-    if (!tries.takeRetryInstead(wasSent)) return;
+    if (!attempts.takeRetryWhileOpen(wasSent)) return;
     mayHaveRun ||= wasSent;
-    const ended = reports.describeBytes(attempt, { kind: "left_open" });
-    reports.tellRetry(attempt, "silent", "no answer", ended);
+    const ended = reports.describeAttemptEnd(attempt, { kind: "left_open" });
+    reports.reportRetry(attempt, "silent", "no answer", ended);
     dropAttempt();
     attemptNext();
   };
 
-  const takeHead = (attempt: Attempt, answerHead: AnswerHead) => {
+  const handleHead = (attempt: Attempt, answerHead: AnswerHead) => {
     attempt.silence?.cancel();
     attempt.answeredAt = getNow();
-    recordServerSigns(deps, { ...attempt, request: head.id }, answerHead);
+    recordServerSignals(deps, { ...attempt, request: head.id }, answerHead);
   };
-  const takeStreamBegun = (attempt: Attempt) => {
+  const handleStreamBegun = (attempt: Attempt) => {
     if (continuations > 0 && run) {
       placer.onRunBegun(attempt.server, head);
       runKeeper.onContinued(run, { kind: "goes_on" });
@@ -218,7 +223,7 @@
     startRun();
   };
 
-  const endWhole = (attempt: Attempt) => {
+  const finishWhole = (attempt: Attempt) => {
     const { body } = attempt;
     if (isServed(attempt.head!, head.id)) guard.onServed();
     const end = { kind: "answered", head: attempt.head! } as const;
@@ -228,12 +233,12 @@
         return;
       case "passed_on":
         answer.end();
-        reports.tellAnswered(attempt);
+        reports.reportAnswered(attempt);
         finish();
         return;
       case "stream":
-        reports.tellStreamEnded(attempt, end);
-        body.leg.finish();
+        reports.reportStreamEnded(attempt, end);
+        body.segment.finish();
         finish();
         return;
       default:
@@ -241,7 +246,7 @@
     }
   };
 
-  const takeFailure = (attempt: Attempt, failure: ExchangeFailure) => {
+  const handleFailure = (attempt: Attempt, failure: ExchangeFailure) => {
     const end: AttemptEnd = { kind: "failed", failure };
     if (failure.kind === "broken") guard.onBroken(attempt);
     const { body } = attempt;
@@ -250,8 +255,8 @@
         conclude(attempt, end);
         return;
       case "passed_on": {
-        const ended = reports.describeBytes(attempt, end);
-        loseStream({ from: attempt.server, ended }, failure.detail);
+        const ended = reports.describeAttemptEnd(attempt, end);
+        failStream({ from: attempt.server, ended }, failure.detail);
         return;
       }
       case "stream":
@@ -269,10 +274,10 @@
       return;
     }
     const { server } = attempt;
-    const ended = reports.describeBytes(attempt, end);
-    const verdict = judgeAttempt(end, head.id);
+    const ended = reports.describeAttemptEnd(attempt, end);
+    const verdict = decideVerdict(end, head.id);
     const wasSent = attempt.exchange?.isSent() ?? false;
-    tries.recordEnd(judgeTry(wasSent, verdict, attempt.head?.signs));
+    attempts.recordEnd(classifyAttempt(wasSent, verdict, attempt.head?.signs));
     if (!wasSent) placer.onUnreachable(server);
     else if (end.kind === "failed" && !attempt.head) placer.onBroken(server);
     if (end.kind === "answered" && end.head.isOtherServer) placer.onAddressReused(server);
@@ -282,32 +287,32 @@
       verdict,
       route,
       mayHaveRunBefore: mayHaveRun,
-      takeRetry: tries.takeRetry,
+      takeRetry: attempts.takeRetry,
     });
     if (verdict === "may_have_run" || verdict === "ran_and_failed") mayHaveRun = true;
     switch (step.kind) {
       case "pass_on":
-        passAnswerOn(attempt);
+        sendServerAnswer(attempt);
         return;
       case "retry":
-        reports.tellRetry(attempt, step.reason, describeEnd(end), ended);
+        reports.reportRetry(attempt, step.reason, describeEnd(end), ended);
         attemptNext();
         return;
       case "answer_not_run":
-        own.answerNotRun("no_server_ran_it", describeEnd(end));
+        ownAnswers.answerNotRun("no_server_ran_it", describeEnd(end));
         return;
       case "answer_unknown":
-        own.answerUnknown("answer_lost", describeEnd(end));
+        ownAnswers.answerUnknown("answer_lost", describeEnd(end));
         return;
     }
   };
 
-  const passAnswerOn = (attempt: Attempt) => {
-    reports.tellAnswered(attempt);
+  const sendServerAnswer = (attempt: Attempt) => {
+    reports.reportAnswered(attempt);
     sendHeldAnswer(answer, attempt, encodeRetryAfter(attempt.head!));
     finish();
   };
-  /** A server's own time to come back is about itself: others may take the request sooner. */
+  /** The retry delay of a rejection is computed here, as other servers may accept the request sooner. */
   const encodeRetryAfter = (answerHead: AnswerHead): RawHeaders => {
     if (!isTurnedAway(answerHead)) return [];
     const decision = placer.choose(service, demand, NONE_TRIED);
@@ -318,45 +323,48 @@
     id: head.id,
     demand,
     terms: computePlacingTerms(request),
-    except: tries.tried,
+    except: attempts.tried,
   };
   const attemptNext = () => {
     if (isOver) return;
-    leaveRoom = placeAgain(deps, placeable, { choose: tries.choose, place: takePlace });
+    leaveQueue = placeAgain(deps, placeable, {
+      choose: attempts.choose,
+      place: handlePlacement,
+    });
   };
-  const takePlace = (decision: PlacementDecision, by?: string) => {
+  const handlePlacement = (decision: PlacementDecision, by?: string) => {
     if (isOver || endIfBlocked()) return;
     if (decision.kind === "placed") sendTo(decision, by);
-    else if (mayHaveRun && !mayRepeat(route)) own.answerUnknown("no_server_left");
-    else own.answerNoServer(decision);
+    else if (mayHaveRun && !mayRepeat(route)) ownAnswers.answerUnknown("no_server_left");
+    else ownAnswers.answerNoServer(decision);
   };
 
-  /** Refuses a request under which too many servers have ended, with the time until it may come again. */
+  /** Refuses the request if it is blocked because servers crashed under it, with the time until it may be retried. */
   const endIfBlocked = (): boolean => {
-    const left = guard.findBlock();
-    if (left === undefined || relay.hasBegun()) return false;
-    own.answerBlocked(left, mayHaveRun);
+    const remaining = guard.findBlock();
+    if (remaining === undefined || relay.hasBegun()) return false;
+    ownAnswers.answerBlocked(remaining, mayHaveRun);
     return true;
   };
 
   const sendTo = (decision: PlacedDecision, by?: string) => {
-    tries.recordChosen(decision.server.entry.id);
-    reports.tellPlaced(decision, tries.countSent() + 1, by);
+    attempts.recordChosen(decision.server.entry.id);
+    reports.reportPlaced(decision, attempts.countSent() + 1, by);
     openAt(decision.server);
   };
 
-  /** The run's server has ended its stream: the same run goes on elsewhere, or a new one where that is allowed. */
+  /** After an interruption, continues the same run at another server, or starts a new run if that is allowed. */
   const continueElsewhere = async (attempt: Attempt, end: AttemptEnd) => {
-    const ended = reports.describeBytes(attempt, end);
-    const left: LeftServer = { from: attempt.server, ended };
+    const ended = reports.describeAttemptEnd(attempt, end);
+    const previous: PreviousServer = { from: attempt.server, ended };
     const detail = describeEnd(end);
     dropAttempt();
-    if (!relay.canGoOn() || !(await guard.mayGoOn(attempt.server))) {
-      if (!isOver) loseStream(left, detail);
+    if (!relay.canContinue() || !(await guard.mayContinue(attempt.server))) {
+      if (!isOver) failStream(previous, detail);
       return;
     }
     if (isOver) return;
-    if (continuations === 0) tries.recordEnd("counts");
+    if (continuations === 0) attempts.recordEnd("counts");
     continuations += 1;
     const continuation =
       run && continuations <= MAX_CONTINUATIONS
@@ -365,45 +373,45 @@
     if (isOver) return;
     const mayGoOn = continuation && placer.takeContinuation(continuation.server);
     if (mayGoOn && guard.mayRepeat()) {
-      continueRun(left, continuation);
+      continueRun(previous, continuation);
       return;
     }
-    if (!resumeAnew(left)) loseStream(left, detail);
+    if (!resumeWithNewRun(previous)) failStream(previous, detail);
   };
 
-  const continueRun = (left: LeftServer, { server, memory }: RunContinuation) => {
-    reports.tellGoesOn("continued", left, server);
+  const continueRun = (previous: PreviousServer, { server, memory }: RunContinuation) => {
+    reports.reportContinuation("continued", previous, server);
     openAt(server, { lastEventId: relay.getLastEventId(), memory });
   };
 
-  /** Where the route allows it, a new run of another server goes on after the last whole event. */
-  const resumeAnew = (left: LeftServer): boolean => {
-    const decision = tries.takeRunAnew();
+  /** If the route allows it, starts a new run at another server that continues after the last complete event. */
+  const resumeWithNewRun = (previous: PreviousServer): boolean => {
+    const decision = attempts.takeNewRun();
     if (!decision) return false;
-    reports.tellGoesOn("resumed", left, decision.server);
+    reports.reportContinuation("resumed", previous, decision.server);
     openAt(decision.server, { lastEventId: relay.getLastEventId(), memory: undefined });
     return true;
   };
 
   const refuseContinuation = (attempt: Attempt, end: AttemptEnd) => {
-    reports.tellContinuationRefused(attempt, end);
-    if (run) runKeeper.onContinued(run, toOutcome(end));
+    reports.reportContinuationRefused(attempt, end);
+    if (run) runKeeper.onContinued(run, toContinuationOutcome(end));
     void continueElsewhere(attempt, end);
   };
 
   budget.recordRequest(service, receivedAt);
   placer.recordArrival(service, demand.tier);
   if (!endIfBlocked())
-    leaveRoom = placeByAdvice(deps, placeable, {
-      choose: tries.choose,
-      place: takePlace,
-      tell: reports.tell,
+    leaveQueue = placeByAdvice(deps, placeable, {
+      choose: attempts.choose,
+      place: handlePlacement,
+      tell: reports.report,
     });
 
   return {
-    clientLeft: () => {
+    onClientLeft: () => {
       if (isOver) return;
-      reports.tellClientLeft(current);
+      reports.reportClientLeft(current);
       answer.break();
       finish();
     },
--- a/packages/forwarding/src/eventSplitter.test.ts
+++ b/packages/forwarding/src/eventSplitter.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { createEventSplitter } from "./eventSplitter.js";
 
-/** Splits the text at the cuts and pushes the pieces. */
+/** Cuts the text at the given positions and pushes the pieces. */
 const splitAll = (text: string, cuts: readonly number[]) => {
   const splitter = createEventSplitter();
   const bytes = Buffer.from(text);
@@ -37,13 +37,13 @@
 type Line = Readonly<{ text: string; end: string }>;
 
 const lineEnd = fc.constantFrom("\n", "\r\n");
-/** Lines of which some name an id, and some only seem to. */
+/** Lines with an id, and lines that only look similar. */
 const anyLine = fc.oneof(
   fc.constantFrom("versions: 3", "data: id: 5", ": id: 6", "data", " id: 7", "idle: 8"),
   fc.stringMatching(/^data: ?[a-zäé ]{0,6}$/),
   fc.stringMatching(/^id:[ ]{0,2}[a-z0-9-]{0,4}$/),
 );
-/** Lines of one event; the last, empty one ends it. */
+/** Lines of one event; the last one is empty and ends it. */
 const mixedEvent: fc.Arbitrary<readonly Line[]> = fc
   .tuple(
     fc.array(fc.record({ text: anyLine, end: lineEnd }), { minLength: 1, maxLength: 4 }),
@@ -60,7 +60,7 @@
 
 describe("createEventSplitter", () => {
   it.each(["\n", "\r\n"])(
-    "passes whole events on, however they are cut (%j)",
+    "returns complete events, however the stream is cut into chunks (line end %j, property)",
     (separator) => {
       fc.assert(
         fc.property(
@@ -74,7 +74,7 @@
             expect(split.passed).toBe(whole);
             expect(split.events).toBe(events.length);
             expect(split.splitter.getLastEventId()).toBe(lastId?.toString());
-            expect(split.splitter.takeRest().toString()).toBe(rest);
+            expect(split.splitter.takePending().toString()).toBe(rest);
           },
         ),
         { seed: 1, numRuns: 300 },
@@ -82,7 +82,7 @@
     },
   );
 
-  it("finds ends and the last id whatever the lines are and however each of them ends", () => {
+  it("finds event ends and the last id for any mix of lines and line ends (property)", () => {
     fc.assert(
       fc.property(
         fc.array(mixedEvent, { maxLength: 5 }),
@@ -97,14 +97,14 @@
           expect(split.passed).toBe(whole);
           expect(split.events).toBe(events.length);
           expect(split.splitter.getLastEventId()).toBe(findId(events.flat()));
-          expect(split.splitter.takeRest().toString()).toBe(rest);
+          expect(split.splitter.takePending().toString()).toBe(rest);
         },
       ),
       { seed: 2, numRuns: 1_000 },
     );
   });
 
-  it("keeps the last id over what is dropped, and begins the next event anew", () => {
+  it("keeps the last id when pending bytes are dropped, and then starts a new event (property)", () => {
     fc.assert(
       fc.property(
         fc.array(mixedEvent, { maxLength: 3 }),
@@ -121,8 +121,10 @@
           );
           expect(passed).toBe(whole);
           expect(splitter.getLastEventId()).toBe(findId(first.flat()));
-          expect(splitter.takeRest().toString()).toBe(left.slice(0, cut % left.length));
-          expect(splitter.takeRest()).toHaveLength(0);
+          expect(splitter.takePending().toString()).toBe(
+            left.slice(0, cut % left.length),
+          );
+          expect(splitter.takePending()).toHaveLength(0);
           const further = second.map(formatMixed).join("");
           const batch = splitter.push(Buffer.from(further));
           expect(batch?.bytes.toString() ?? "").toBe(further);
@@ -133,12 +135,12 @@
     );
   });
 
-  it("holds an event back that was cut in the middle, and holds it no more once it is taken", () => {
+  it("buffers an incomplete event until it is taken", () => {
     const splitter = createEventSplitter();
     expect(splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"))?.events).toBe(1);
-    expect(splitter.countRest()).toBe(8);
-    expect(splitter.takeRest().toString()).toBe("id: 2\nda");
-    expect(splitter.countRest()).toBe(0);
+    expect(splitter.countPendingBytes()).toBe(8);
+    expect(splitter.takePending().toString()).toBe("id: 2\nda");
+    expect(splitter.countPendingBytes()).toBe(0);
     expect(splitter.push(Buffer.from("id: 2\ndata: b\n\n"))?.bytes.toString()).toBe(
       "id: 2\ndata: b\n\n",
     );
@@ -147,24 +149,24 @@
 });
 
 /**
- * The format lets a line end with a carriage return alone; such an event was held back until the answer ended, and an id
- * in such a line was not seen, or took the next line into it. Blank lines beyond the one that ends an event counted as
- * events or lay there as a rest by how the bytes were cut, so an end in order looked like one within an event.
+ * Lines may end with a carriage return alone. If the splitter misses that, an event is delayed until the
+ * answer ends, and an id is lost or includes the next line. If extra blank lines after an event count as
+ * an event or as pending bytes, a normal end of the stream looks like an end within an event.
  */
-describe("an event that ends in a rarer way", () => {
+describe("createEventSplitter with unusual line ends", () => {
   it.each([
     ["id: 1\rdata: a\r\r", "1"],
     ["id: 1\r\ndata: a\r\n\rid: 2\r\ndata: b\n\r\n", "2"],
     ["data: a\rid: 1\n\n", "1"],
     ["id: 1\rdata: a\n\n", "1"],
-  ])("is passed on, with its id: %j", (text, id) => {
-    // A carriage return at the very end may be the first half of a line end.
+  ])("returns the events and the last id: %j", (text, id) => {
+    // Text follows because a final carriage return may be the first half of a line end.
     const { passed, splitter } = splitAll(`${text}: next`, []);
     expect(passed).toBe(text);
     expect(splitter.getLastEventId()).toBe(id);
   });
 
-  it("counts the same however the blank lines behind it are cut", () => {
+  it("counts the same events however the blank lines after them are cut (property)", () => {
     const blank = fc.array(lineEnd, { maxLength: 3 }).map((ends) => ends.join(""));
     fc.assert(
       fc.property(
@@ -175,7 +177,7 @@
           const split = splitAll(text, cuts);
           const whole = splitAll(text, []);
           expect(split.events).toBe(whole.events);
-          expect(split.splitter.takeRest()).toEqual(whole.splitter.takeRest());
+          expect(split.splitter.takePending()).toEqual(whole.splitter.takePending());
         },
       ),
       { seed: 4, numRuns: 500 },
@@ -188,9 +190,9 @@
     ["data: a\n\n\n\r\n", 0],
     ["data: a\n\n\ndata", 5],
     ["data: a\n", 8],
-  ])("leaves bytes of an event when nothing follows %j: %i", (text, left) => {
+  ])("counts the bytes of an incomplete event at the end of %j: %i", (text, left) => {
     const splitter = createEventSplitter();
     splitter.push(Buffer.from(text));
-    expect(splitter.countRest()).toBe(left);
+    expect(splitter.countPendingBytes()).toBe(left);
   });
 });
--- a/packages/forwarding/src/eventSplitter.ts
+++ b/packages/forwarding/src/eventSplitter.ts
@@ -1,30 +1,30 @@
 /**
- * Splits a stream of events at their ends, so that only whole events are passed on.
+ * Splits an event stream (server-sent events) into complete events.
  *
- * Bytes are never changed: what is passed on is exactly what came, later by the rest of one event. A line ends with a line
+ * Bytes are never changed; they are only delayed until their event is complete. A line ends with a line
  * feed, a carriage return, or both; blank lines before an event belong to it.
  */
 
-/** Whole events. */
+/** Complete events. */
 export type EventBatch = Readonly<{
   bytes: Buffer;
   events: number;
-  /** The ids of those that carry data or an id, in order; undefined for one with data only. */
+  /** Ids of the events that have data or an id, in order; undefined for one that has no id. */
   ids: readonly (string | undefined)[];
 }>;
 
-/** Takes bytes as they come and gives whole events. */
+/** Splits a stream into complete events. */
 export type EventSplitter = Readonly<{
-  /** Adds bytes; gives the whole events that they complete, if any. */
+  /** Adds bytes; returns the events that they complete, undefined if none. */
   push: (chunk: Buffer) => EventBatch | undefined;
-  /** Id of the last whole event that has one. */
+  /** Id of the last complete event that has one. */
   getLastEventId: () => string | undefined;
-  /** How many bytes of an event whose end has not come are held, if nothing follows them. */
-  countRest: () => number;
-  /** How many bytes are held in all. */
-  countHeld: () => number;
-  /** Hands those bytes out; none are held afterwards. */
-  takeRest: () => Buffer;
+  /** Bytes of an incomplete event if the stream ended now; 0 if only blank lines are left. */
+  countPendingBytes: () => number;
+  /** Number of all buffered bytes. */
+  countHeldBytes: () => number;
+  /** Returns and drops the buffered bytes. */
+  takePending: () => Buffer;
 }>;
 
 const LINE_FEED = 0x0a;
@@ -36,7 +36,7 @@
 const FIRST_OF_ID = ID_FIELD.charCodeAt(0);
 const FIRST_OF_DATA = DATA_FIELD.charCodeAt(0);
 
-/** The ends of the events that the bytes complete, each the index behind its last byte. */
+/** Ends of the complete events, each the index after the event's last byte. */
 type EventEnds = readonly number[];
 
 const passLineFeeds = (text: string, from: number): number => {
@@ -59,21 +59,21 @@
 const isLineEnd = (byte: number | undefined): boolean =>
   byte === LINE_FEED || byte === CARRIAGE_RETURN;
 
-/** Where the line after the line end at `at` begins; -1 while a line feed may still belong to it. */
-const findNextLine = (bytes: Buffer, at: number, isAll: boolean): number => {
+/** Start of the line after the line end at `at`; -1 if a line feed that belongs to it may still follow. */
+const findNextLine = (bytes: Buffer, at: number, isComplete: boolean): number => {
   if (bytes[at] === LINE_FEED) return at + 1;
-  if (at + 1 === bytes.length) return isAll ? at + 1 : -1;
+  if (at + 1 === bytes.length) return isComplete ? at + 1 : -1;
   return bytes[at + 1] === LINE_FEED ? at + 2 : at + 1;
 };
 
-/** Lines may end in each of the three ways; `isAll` says that nothing follows the bytes. */
-const findMixedEnds = (bytes: Buffer, isAll: boolean): EventEnds => {
+/** Finds ends where lines end in any of the three ways; `isComplete`: no more bytes follow. */
+const findMixedEnds = (bytes: Buffer, isComplete: boolean): EventEnds => {
   const ends: number[] = [];
   let lineStart = 0;
   let hasContent = false;
   for (let at = 0; at < bytes.length; at += 1) {
     if (!isLineEnd(bytes[at])) continue;
-    const next = findNextLine(bytes, at, isAll);
+    const next = findNextLine(bytes, at, isComplete);
     if (next < 0) break;
     const isBlank = at === lineStart;
     if (isBlank && hasContent) ends.push(next);
@@ -84,7 +84,7 @@
   return ends;
 };
 
-/** What the fields of one event say. */
+/** The fields of one event that matter here. */
 type EventFields = { id: string | undefined; hasData: boolean };
 
 const readPlainLine = (text: string, start: number, end: number, into: EventFields) => {
@@ -95,7 +95,7 @@
   into.id = text.slice(text.charCodeAt(value) === SPACE ? value + 1 : value, end);
 };
 
-/** The last id counts where an event has several. */
+/** If an event has several ids, the last one counts. */
 const readPlainFields = (text: string, start: number, end: number): EventFields => {
   const fields: EventFields = { id: undefined, hasData: false };
   for (let at = start; at < end;) {
@@ -127,50 +127,53 @@
   return ids;
 };
 
-/** One byte of the stream is one character of the text. */
+/** Decodes each byte to one character, so that indexes agree. */
 const toText = (bytes: Buffer): string => bytes.toString("latin1");
 
-const findEventEnds = (bytes: Buffer, text: string, isAll: boolean): EventEnds =>
-  text.includes("\r") ? findMixedEnds(bytes, isAll) : findPlainEnds(text);
+const findEventEnds = (bytes: Buffer, text: string, isComplete: boolean): EventEnds =>
+  text.includes("\r") ? findMixedEnds(bytes, isComplete) : findPlainEnds(text);
 
 const FULL_LINE_END = Buffer.from("\r\n");
 
 /**
- * Bytes that are left when nothing follows: blank lines are no event. A last carriage return ends its line, but not where
- * lines end with both: its line feed is missing then.
+ * Counts the bytes of an incomplete event at the end of a stream; blank lines are no event. A final
+ * carriage return ends its line, unless the stream's lines end with both characters: then its line
+ * feed is missing.
  */
-const countLeft = (rest: Buffer): number => {
-  const isAll = !rest.includes(FULL_LINE_END);
-  const left = rest.subarray(findEventEnds(rest, toText(rest), isAll).at(-1) ?? 0);
+const countUnfinishedBytes = (pending: Buffer): number => {
+  const isComplete = !pending.includes(FULL_LINE_END);
+  const left = pending.subarray(
+    findEventEnds(pending, toText(pending), isComplete).at(-1) ?? 0,
+  );
   return left.every(isLineEnd) ? 0 : left.length;
 };
 
-/** Creates a splitter at the start of a stream. */
+/** Creates a splitter for a new stream. */
 export const createEventSplitter = (): EventSplitter => {
-  let rest: Buffer = Buffer.alloc(0);
+  let pending: Buffer = Buffer.alloc(0);
   let lastEventId: string | undefined;
 
   return {
     push: (chunk) => {
-      const bytes = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      const bytes = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
       const text = toText(bytes);
       const ends = findEventEnds(bytes, text, false);
       const end = ends.at(-1);
       if (end === undefined) {
-        rest = bytes;
+        pending = bytes;
         return undefined;
       }
-      rest = bytes.subarray(end);
+      pending = bytes.subarray(end);
       const ids = listIds(text, ends);
       lastEventId = ids.findLast((id) => id !== undefined) ?? lastEventId;
       return { bytes: bytes.subarray(0, end), events: ends.length, ids };
     },
     getLastEventId: () => lastEventId,
-    countRest: () => countLeft(rest),
-    countHeld: () => rest.length,
-    takeRest: () => {
-      const taken = rest;
-      rest = Buffer.alloc(0);
+    countPendingBytes: () => countUnfinishedBytes(pending),
+    countHeldBytes: () => pending.length,
+    takePending: () => {
+      const taken = pending;
+      pending = Buffer.alloc(0);
       return taken;
     },
   };
--- a/packages/forwarding/src/fitsBeforeStop.test.ts
+++ b/packages/forwarding/src/fitsBeforeStop.test.ts
@@ -37,13 +37,13 @@
 const PLAIN = makeRoute("once", 600);
 
 describe("fitsBeforeStop", () => {
-  // A box that stops within 8 s, asked `now` ms after the order.
+  // The box stops 8 s after the announcement; the request arrives `now` ms after it.
   it.each([
-    ["a short generation at first", STREAM, 60, 100, true],
-    ["a long generation at first", STREAM, 900, 100, false],
-    ["any generation once clients should be elsewhere", STREAM, 4, 4_054, false],
-    ["a plain request while it fits", PLAIN, undefined, 7_000, true],
-    ["a plain request that would be cut", PLAIN, undefined, 7_500, false],
+    ["accepts a short generation at first", STREAM, 60, 100, true],
+    ["refuses a long generation at first", STREAM, 900, 100, false],
+    ["refuses any generation after the discovery lag", STREAM, 4, 4_054, false],
+    ["accepts a plain request that ends in time", PLAIN, undefined, 7_000, true],
+    ["refuses a plain request that may end too late", PLAIN, undefined, 7_500, false],
   ] as const)("%s", (_name, route, guess, now, fits) => {
     const times = { announcedAt: 0 as Ms, endsAt: 8_000 as Ms, now: now as Ms };
     expect(fitsBeforeStop({ ...times, head: makeHead(guess), route })).toBe(fits);
--- a/packages/forwarding/src/fitsBeforeStop.ts
+++ b/packages/forwarding/src/fitsBeforeStop.ts
@@ -1,19 +1,22 @@
-/** Whether a request can still be served by a box that stops. Pure. */
+/** Whether a box that is about to stop can still serve a request. Pure. */
 import type { Ms } from "@stairgauge/common";
 import { computeTimeLimit, type Route } from "@stairgauge/routing";
 import { computeDemand } from "./computeDemand.js";
 import type { RequestHead } from "./types.js";
 
-/** Clients may still be sent here for this long; later a request must be certain to end in time. */
-const STILL_FOUND_MS = 2_500;
+/**
+ * Time after the stop is announced in which new clients may still be directed to this box. Later,
+ * only requests that are certain to end in time are accepted.
+ */
+const DISCOVERY_LAG_MS = 2_500;
 
-/** Time to the first event of a generation on a busy engine; p99 of the users' sites. */
+/** Time to the first event of a generation on a busy engine: the p99 measured at the operators' sites. */
 const FIRST_EVENT_MS = 1_500;
 
-/** Time that a token takes on a busy engine; from the users' sites, 10 ms and half as much again. */
+/** Time per token on a busy engine: 10 ms measured at the operators' sites, plus 50 % as a margin. */
 const TOKEN_MS = 15;
 
-/** What the decision is made from. */
+/** Inputs of the decision; `endsAt` is when the box stops. */
 export type StopInputs = Readonly<{
   announcedAt: Ms;
   endsAt: Ms;
@@ -25,11 +28,11 @@
 const estimateTime = ({ head, route, now, announcedAt }: StopInputs): number => {
   const limit = computeTimeLimit(route, head.patience);
   const { tokens } = computeDemand({ head, route });
-  const isLate = now - announcedAt > STILL_FOUND_MS;
+  const isLate = now - announcedAt > DISCOVERY_LAG_MS;
   if (isLate || !tokens) return limit;
   return Math.min(limit, FIRST_EVENT_MS + tokens.expectedOut * TOKEN_MS);
 };
 
-/** Decides by the time that the request will probably take, later by the longest that it may take. */
+/** Decides by the request's expected duration at first, and by its time limit after the discovery lag. */
 export const fitsBeforeStop = (inputs: StopInputs): boolean =>
   inputs.now + estimateTime(inputs) <= inputs.endsAt;
--- a/packages/forwarding/src/forwarderTypes.ts
+++ b/packages/forwarding/src/forwarderTypes.ts
@@ -1,4 +1,4 @@
-/** What the forwarder needs of the rest of the system. */
+/** The forwarder's dependencies, its decisions, and the requests that it handles. */
 import type { Clock, Ms, Random, ServiceName } from "@stairgauge/common";
 import type { BrokenRun, RequestDigest, RequestGuard } from "@stairgauge/crashes";
 import type { BackendServer, ServerId } from "@stairgauge/directory";
@@ -7,60 +7,62 @@
   AccessRefusal,
   ConfigurationIndex,
   Route,
-  Standing,
+  ConfigurationFreshness,
   WorkspaceSpec,
 } from "@stairgauge/routing";
-import type { HeardSigns } from "@stairgauge/signals";
+import type { ReceivedSignals } from "@stairgauge/signals";
 import type { ActiveRun, ActiveRuns, RunKeeper } from "./activeRuns.js";
 import type { ClientAnswer } from "./clientAnswer.js";
-import type { BytesEnd, Framing, ServerStatus } from "./describeBytesEnd.js";
+import type { AnswerEnd, Framing, ServerStatus } from "./describeAnswerEnd.js";
 import type { PlacementAdvisor } from "./placeByAdvice.js";
 import type { WaitQueue } from "./waitQueue.js";
 import type { RetryBudget } from "./retryBudget.js";
 import type { ServerAsker } from "./createServerAsker.js";
-import type { ServerEnd, ServerEnds } from "./serverEnds.js";
+import type { CrashCheck, CrashDetector } from "./crashDetector.js";
 import type { HeadCodec, RequestHead } from "./types.js";
 
-/** What is known when a request comes. */
+/** Read access to the current configuration and to how recently it was confirmed. */
 export type ConfigurationView = Readonly<{
   getIndex: () => ConfigurationIndex | undefined;
-  getServerStatus: () => Standing;
+  getFreshness: () => ConfigurationFreshness;
   getAge: () => Ms;
 }>;
 
-/** Why the system itself ends a request. */
+/** Why the box answers a request itself. */
 export type RefusalReason =
   | AccessRefusal
   | "body_too_long"
   | "too_many_bodies_held"
   | "box_is_stopping"
-  /** Every server that was asked says that it did not run the request. */
+  /** Every server that was sent the request states that it did not run it. */
   | "no_server_ran_it"
   | "no_server_known"
-  /** All servers that stay stand in regions that the request must not go to. */
+  /** All available servers are in regions that the request must not be sent to. */
   | "no_server_in_regions"
-  /** All servers that stay stand in data halls that operators have closed to new work. */
+  /** All available servers are in data halls that operators have closed to new work. */
   | "data_halls_closed"
-  /** The servers left have just started, and have had what they bear. */
+  /** The remaining servers have just started and already have all requests allowed during warm-up. */
   | "servers_cold"
-  /** The servers left have named how many requests they take, and have had them. */
+  /** The remaining servers have announced a request limit, and it is used up. */
   | "servers_limited"
-  /** The servers left have turned this box away, and rest. */
+  /** The remaining servers have asked this box for a backoff that is not over. */
   | "servers_resting"
-  /** A server may have run it, and no other is left to ask. */
+  /** A server may have run the request, and there is no other server to try. */
   | "no_server_left"
+  /** The request may have run, but its answer was lost and it must not run again. */
   | "answer_lost"
-  /** Servers have ended under it, so it goes to none. */
+  /** Servers crashed while they ran the request, so it is sent to no server. */
   | "servers_end_under_it"
+  /** The time limit passed before the request was sent to any server. */
   | "out_of_time_unsent"
   | "out_of_time";
 
-/** A decision that touches a request; each is logged as one line. */
+/** A decision about a request; each is logged as one line. */
 export type ForwardDecision = Readonly<
   | {
       kind: "refused";
       reason: RefusalReason;
-      /** What the last server did, where one was asked. */
+      /** How the last attempt ended; undefined if there was none. */
       detail: string | undefined;
       status: number;
       retryAfter: Ms | undefined;
@@ -75,28 +77,31 @@
       candidates: number;
       resting: number | undefined;
       limited: PlacementLimit | undefined;
-      /** The box that made the choice, where this one asked another. */
+      /** The box that chose the server; undefined if this box chose it. */
       by: string | undefined;
     }
-  /** Every engine is full: it waits for room, at this box beside others or at the one that was asked. */
+  /**
+   * Every engine is full: the request waits for capacity. `waiting` is the length of this box's queue;
+   * undefined if the request waits at another box.
+   */
   | { kind: "waits"; memoryAfter: number; waiting: number | undefined }
-  | (BytesEnd & { kind: "retry"; server: ServerId; reason: string; detail: string })
-  /** The same run goes on at another server. */
-  | (BytesEnd & { kind: "continued"; from: ServerId; to: ServerId; events: number })
-  /** A new run of another server goes on after the last whole event. */
-  | (BytesEnd & { kind: "resumed"; from: ServerId; to: ServerId; events: number })
-  | (BytesEnd & { kind: "continuation_refused"; to: ServerId; detail: string })
-  /** The server broke the request off; what became of it was found out afterwards. */
-  | (ServerEnd &
+  | (AnswerEnd & { kind: "retry"; server: ServerId; reason: string; detail: string })
+  /** The same run continues at another server. */
+  | (AnswerEnd & { kind: "continued"; from: ServerId; to: ServerId; events: number })
+  /** A new run at another server continues after the last complete event. */
+  | (AnswerEnd & { kind: "resumed"; from: ServerId; to: ServerId; events: number })
+  | (AnswerEnd & { kind: "continuation_refused"; to: ServerId; detail: string })
+  /** The server broke the connection; afterwards the box checked whether the server crashed. */
+  | (CrashCheck &
       BrokenRun & {
         kind: "server_broke";
         server: ServerId;
         digest: RequestDigest;
-        /** Requests at the server when it broke, this one included, as far as this box knows. */
+        /** Requests at the server when the connection broke, including this one, by this box's records. */
         aboard: number;
       })
   | { kind: "answered"; server: ServerId; status: number }
-  | (BytesEnd & {
+  | (AnswerEnd & {
       kind: "stream_ended";
       server: ServerId;
       events: number;
@@ -105,8 +110,13 @@
       /** Time from the request to the end of the longest pause. */
       longestPauseAfter: Ms;
     })
-  | (BytesEnd & { kind: "stream_lost"; server: ServerId; events: number; detail: string })
-  /** The framing is that of the answer that was open. */
+  | (AnswerEnd & {
+      kind: "stream_lost";
+      server: ServerId;
+      events: number;
+      detail: string;
+    })
+  /** `framing` describes the answer that was in progress; undefined if there was none. */
   | { kind: "client_left"; events: number; framing: Framing | undefined }
   | {
       kind: "out_of_time";
@@ -116,7 +126,7 @@
     }
 >;
 
-/** Where decisions are told. */
+/** Receives the forwarder's decisions. */
 export type ForwardObserver = Readonly<{
   onDecision: (subject: DecisionSubject, decision: ForwardDecision) => void;
 }>;
@@ -124,47 +134,48 @@
 /** The request that a decision is about. */
 export type DecisionSubject = Readonly<{
   head: RequestHead;
-  /** Absent while no route is found for it. */
+  /** Undefined if no route was found, or none was looked up yet. */
   route: Route | undefined;
+  /** Time since the box received the request. */
   sinceReceived: Ms;
 }>;
 
-/** How placements are made and kept. */
+/** Chooses servers, and keeps track of the requests at each. */
 export type Placer = Readonly<{
   choose: (
     service: ServiceName,
     demand: Demand,
     except: ReadonlySet<ServerId>,
   ) => PlacementDecision;
-  /** A request has been let in; it may then be placed any number of times, or never. */
+  /** Records that a request was admitted; it may then be placed any number of times, or never. */
   recordArrival: (service: ServiceName, tier: number) => void;
-  /** Notes a request at a server until the returned function is called. */
+  /** Counts a request at a server until the returned function is called. */
   place: (server: BackendServer, head: RequestHead, demand: Demand) => () => void;
-  /** A run's first event has come from the server. */
+  /** The server sent the first event of a run. */
   onRunBegun: (server: BackendServer, head: RequestHead) => void;
-  /** Requests at a server, as far as this box knows. */
+  /** Number of requests at a server, by this box's records. */
   countAboard: (server: BackendServer) => number;
-  /** Whether a server gets no new work, as known now. */
+  /** Whether a server gets no new work because it is about to stop. */
   isLeaving: (server: BackendServer) => boolean;
-  /** What is known of a server now. */
-  getStanding: (server: BackendServer) => ServerStatus;
-  /** The server's address belongs to another one now. */
+  /** Current status of a server. */
+  getServerStatus: (server: BackendServer) => ServerStatus;
+  /** The server's address belongs to another server now. */
   onAddressReused: (server: BackendServer) => void;
-  /** No connection came up: the server may be dead, though its entry still stands. */
+  /** No connection was established: the server may be dead although it is still listed. */
   onUnreachable: (server: BackendServer) => void;
-  /** The server broke off a request that it was sent, before it answered. */
+  /** The server broke the connection of a request before it answered. */
   onBroken: (server: BackendServer) => void;
-  /** The server has begun to answer a request. */
+  /** The server has started to answer a request. */
   onAnswered: (server: BackendServer) => void;
-  /** Whether the server may be asked if it is there, which takes a place there like a request; a yes counts as one. */
+  /** Whether the server may get a health check now. It occupies a slot, so true counts as a request there. */
   takeAsk: (server: BackendServer) => boolean;
-  /** Whether a run that has begun may go on at a server now; a yes counts as a request there. */
+  /** Whether a started run may continue at the server now; true counts as a request there. */
   takeContinuation: (server: BackendServer) => boolean;
-  /** Whether a server answers anything at all, asked now. */
+  /** Sends the server a call; resolves with whether it answers at all. */
   isAlive: (server: BackendServer) => Promise<boolean>;
 }>;
 
-/** Collaborators of the forwarder. */
+/** Dependencies of the forwarder. */
 export type ForwarderDeps = Readonly<{
   clock: Clock;
   random: Random;
@@ -177,22 +188,22 @@
   adviser: PlacementAdvisor;
   runKeeper: RunKeeper;
   guard: Pick<RequestGuard, "getStatus" | "recordCrash" | "recordServed">;
-  /** Takes what a server says of itself in an answer. */
-  takeSigns: (heard: HeardSigns) => void;
+  /** Handles the signals that an answer carries about its server. */
+  dispatchSignals: (received: ReceivedSignals) => void;
   observer: ForwardObserver;
-  /** When a refused client should come back. */
+  /** Delay after which a refused client should retry. */
   retryAfter: Ms;
-  /** How long a connection to a server may take to come up. */
+  /** Timeout for establishing a connection to a server. */
   connectLimit: Ms;
-  /** Bytes of bodies that are held at once; beyond it requests are refused, not run. */
+  /** Largest total size of request bodies in memory; requests beyond it are refused without being run. */
   mostHeldBytes: number;
 }>;
 
-/** What each dispatch needs: the forwarder's collaborators, and what all its dispatches share. */
+/** Dependencies of a dispatch: those of the forwarder, and what all its dispatches share. */
 export type DispatchDeps = ForwarderDeps &
-  Readonly<{ askServer: ServerAsker; serverEnds: ServerEnds }>;
+  Readonly<{ askServer: ServerAsker; crashDetector: CrashDetector }>;
 
-/** A request that was let in. */
+/** A request that passed access control. */
 export type AdmittedRequest = Readonly<{
   head: RequestHead;
   body: Buffer;
@@ -200,7 +211,7 @@
   workspace: WorkspaceSpec | undefined;
   service: ServiceName;
   receivedAt: Ms;
-  /** Time by which it must have its final answer. */
+  /** Deadline of the final answer. */
   endsAt: Ms;
   answer: ClientAnswer;
 }>;
--- a/packages/forwarding/src/guardCall.test.ts
+++ b/packages/forwarding/src/guardCall.test.ts
@@ -5,7 +5,7 @@
 import type { AdmittedRequest } from "./forwarderTypes.js";
 import { createCallGuard, type BrokenAttempt } from "./guardCall.js";
 import { makeServer } from "./server.testkit.js";
-import type { ServerEnd, ServerEndVerdict } from "./serverEnds.js";
+import type { CrashCheck, CrashVerdict } from "./crashDetector.js";
 
 const REQUEST = {
   head: { host: "site.example", target: "/verdict/1" },
@@ -13,9 +13,9 @@
   workspace: { name: "w" },
 } as AdmittedRequest;
 
-const createCalls = (verdict: ServerEndVerdict, judgedAfter = 5) => {
+const createCalls = (verdict: CrashVerdict, checkDuration = 5) => {
   const clock = createVirtualClock();
-  const told: BrokenAttempt[] = [];
+  const reported: BrokenAttempt[] = [];
   const guard = createRequestGuard({
     clock,
     limits: { blockingEnds: 3, memory: 60_000 as Ms },
@@ -24,23 +24,23 @@
     onBlocked: () => undefined,
     onReleased: () => undefined,
   });
-  const judge = () =>
-    new Promise<ServerEnd>((resolve) => {
-      clock.setTimer(judgedAfter as Ms, () => resolve({ verdict, detail: "" }));
+  const check = () =>
+    new Promise<CrashCheck>((resolve) => {
+      clock.setTimer(checkDuration as Ms, () => resolve({ verdict, detail: "" }));
     });
   let events = 0;
-  /** The next try of the same request. */
+  /** Creates the guard of the client's next try of the same request. */
   const begin = () =>
     createCallGuard({
       deps: {
         clock,
         guard,
-        serverEnds: { judge },
+        crashDetector: { check },
         placer: { countAboard: () => 2 } as never,
       },
       request: REQUEST,
       countEvents: () => events,
-      tellBroke: (_, broken) => told.push(broken),
+      reportBroken: (_, broken) => reported.push(broken),
     });
   const breakOff = (call: ReturnType<typeof begin>, id: string, made = 0) => {
     const release = () => undefined;
@@ -54,11 +54,11 @@
     call.onBroken(attempt);
   };
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
-  return { clock, told, begin, breakOff, advance };
+  return { clock, reported, begin, breakOff, advance };
 };
 
 describe("createCallGuard", () => {
-  it("sends a request on once after the first server has ended, and no further in the same try", async () => {
+  it("allows one repeat after the first crash, and no more after the second", async () => {
     const { begin, breakOff } = createCalls("ended");
     const call = begin();
     breakOff(call, "a");
@@ -67,8 +67,8 @@
     expect(call.mayRepeat()).toBe(false);
   });
 
-  it("keeps later tries from servers once three have ended, and says what it rests on", async () => {
-    const { begin, breakOff, advance, told } = createCalls("ended");
+  it("blocks later tries of the client after three crashes, and reports each crash", async () => {
+    const { begin, breakOff, advance, reported } = createCalls("ended");
     for (const id of ["a", "b", "c"]) {
       const call = begin();
       expect(call.findBlock()).toBeUndefined();
@@ -76,10 +76,10 @@
       await advance(10);
     }
     expect(begin().findBlock()).toBeGreaterThan(50_000);
-    expect(told.at(-1)).toMatchObject({ verdict: "ended", aboard: 2, events: 0 });
+    expect(reported.at(-1)).toMatchObject({ verdict: "ended", aboard: 2, events: 0 });
   });
 
-  it("does not suspect requests whose connections break while their servers live", async () => {
+  it("does not block a request whose connections break while its servers are alive", async () => {
     const { begin, breakOff, advance } = createCalls("lives");
     const call = begin();
     for (const id of ["a", "b", "c", "d"]) breakOff(call, id);
@@ -88,7 +88,7 @@
     expect(call.findBlock()).toBeUndefined();
   });
 
-  it("does not suspect a stream that has made many events at each of its servers", async () => {
+  it("does not block a stream that received many events from each crashed server", async () => {
     const { begin, breakOff, advance } = createCalls("ended");
     const call = begin();
     for (const id of ["a", "b", "c", "d"]) breakOff(call, id, 40);
@@ -96,7 +96,7 @@
     expect(call.mayRepeat()).toBe(true);
   });
 
-  it("waits until it is known whether a stream's second server has ended", async () => {
+  it("waits for the check of a stream's second server before the stream may continue", async () => {
     for (const [verdict, mayGoOn] of [
       ["ended", false],
       ["lives", true],
@@ -105,23 +105,23 @@
       const call = begin();
       breakOff(call, "a");
       breakOff(call, "b");
-      const judged = call.mayGoOn(makeServer("b"));
+      const checked = call.mayContinue(makeServer("b"));
       await advance(10);
-      expect(await judged).toBe(mayGoOn);
+      expect(await checked).toBe(mayGoOn);
     }
   });
 
-  it("does not hold a stream for a server that says nothing", async () => {
+  it("stops waiting after 300 ms if the server does not answer the check", async () => {
     const { begin, breakOff, advance } = createCalls("not_known", 4_000);
     const call = begin();
     breakOff(call, "a");
     breakOff(call, "b");
-    const judged = call.mayGoOn(makeServer("b"));
+    const checked = call.mayContinue(makeServer("b"));
     await advance(300);
-    expect(await judged).toBe(false);
+    expect(await checked).toBe(false);
   });
 
-  it("trusts a request again that a server has served", async () => {
+  it("unblocks a request that a server has served", async () => {
     const { begin, breakOff, advance } = createCalls("ended");
     const call = begin();
     for (const id of ["a", "b", "c"]) breakOff(call, id);
--- a/packages/forwarding/src/guardCall.ts
+++ b/packages/forwarding/src/guardCall.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps one request from servers while servers end under it. A request may end each server that begins to run it, with all
- * streams aboard: of six engines all six within 1.4 s, where each try went to a second server and each client came again.
+ * Blocks a request under which servers crash. Such a request may crash every server that starts to run
+ * it, with all other streams there: with one retry per request and clients that retry as well, all six
+ * engines of a service crashed within 1.4 s.
  */
 import { waitFor, type Ms } from "@stairgauge/common";
 import {
@@ -13,53 +14,56 @@
 import type { Attempt } from "./attempt.js";
 import { createDigest } from "./createDigest.js";
 import type { AdmittedRequest, DispatchDeps } from "./forwarderTypes.js";
-import type { ServerEnd } from "./serverEnds.js";
+import type { CrashCheck } from "./crashDetector.js";
 
-/** How long a stream that could go on elsewhere waits to hear what became of its server; one that ended refuses within some ms. */
+/**
+ * How long a stream that could continue elsewhere waits for the check of its previous server. The
+ * address of a crashed server refuses connections within a few milliseconds.
+ */
 const VERDICT_WAIT_MS = 300 as Ms;
 
-/** What became of a server under a request, for the log. */
-export type BrokenAttempt = ServerEnd &
+/** A broken attempt and the state of its server, for the log. */
+export type BrokenAttempt = CrashCheck &
   BrokenRun &
   Readonly<{ digest: RequestDigest; aboard: number }>;
 
-/** What guarding a request needs. */
+/** Options of the guard. */
 export type GuardCallOptions = Readonly<{
-  deps: Pick<DispatchDeps, "clock" | "placer" | "guard" | "serverEnds">;
+  deps: Pick<DispatchDeps, "clock" | "placer" | "guard" | "crashDetector">;
   request: AdmittedRequest;
-  /** Events that the client has. */
+  /** Number of events that the client has received. */
   countEvents: () => number;
-  tellBroke: (server: BackendServer, broken: BrokenAttempt) => void;
+  reportBroken: (server: BackendServer, broken: BrokenAttempt) => void;
 }>;
 
 /** The guard of one request. */
 export type CallGuard = Readonly<{
-  /** How much longer the request goes to no server; undefined while it may. */
+  /** Remaining time for which the request is blocked; undefined if it is not. */
   findBlock: () => Ms | undefined;
-  /** Whether this box may send the request on by itself, once one or more attempts have failed. */
+  /** Whether the box may send the request to another server after failed attempts. */
   mayRepeat: () => boolean;
-  /** The same for a stream whose server has just broken it off, once it is known whether that has ended. */
-  mayGoOn: (left: BackendServer) => Promise<boolean>;
-  /** The server broke the attempt off. */
+  /** Like `mayRepeat`, for a stream whose server just broke it off; waits for the check of that server. */
+  mayContinue: (previous: BackendServer) => Promise<boolean>;
+  /** The server broke the connection of the attempt. */
   onBroken: (attempt: Attempt) => void;
   onServed: () => void;
 }>;
 
 /** Creates the guard. */
 export const createCallGuard = (options: GuardCallOptions): CallGuard => {
-  const { deps, request, countEvents, tellBroke } = options;
-  const { clock, placer, guard, serverEnds } = deps;
+  const { deps, request, countEvents, reportBroken } = options;
+  const { clock, placer, guard, crashDetector } = deps;
   const getDigest = createDigest(request);
-  /** Servers that broke the request off, and that are not known to live. */
-  const brokeOff = new Set<ServerId>();
+  /** Servers that broke the request off and are not known to be alive. */
+  const suspectedServers = new Set<ServerId>();
 
   const findBlock = () => {
-    const standing = guard.getStatus(getDigest);
-    return standing.kind === "blocked" ? standing.left : undefined;
+    const status = guard.getStatus(getDigest);
+    return status.kind === "blocked" ? status.left : undefined;
   };
   const mayRepeat = () => {
-    const standing = guard.getStatus(getDigest, brokeOff);
-    return standing.kind === "unsuspected" || standing.ends < ENDS_TO_STOP_REPEATS;
+    const status = guard.getStatus(getDigest, suspectedServers);
+    return status.kind === "unsuspected" || status.ends < ENDS_TO_STOP_REPEATS;
   };
 
   const measureRun = ({ answeredAt, eventsBefore }: Attempt): BrokenRun => ({
@@ -67,29 +71,32 @@
       answeredAt === undefined ? undefined : ((clock.monotonic() - answeredAt) as Ms),
     events: countEvents() - eventsBefore,
   });
-  const judgeBroken = async (server: BackendServer, run: BrokenRun) => {
+  const checkBroken = async (server: BackendServer, run: BrokenRun) => {
     const { id } = server.entry;
     const aboard = placer.countAboard(server);
-    const end = await serverEnds.judge(server);
+    const end = await crashDetector.check(server);
     const digest = getDigest();
-    if (end.verdict !== "ended") brokeOff.delete(id);
+    if (end.verdict !== "ended") suspectedServers.delete(id);
     else if (mayHaveEnded(run)) guard.recordCrash({ digest, server: id });
-    tellBroke(server, { ...end, ...run, digest, aboard });
+    reportBroken(server, { ...end, ...run, digest, aboard });
   };
 
   return {
     findBlock,
     mayRepeat,
-    mayGoOn: async (left) => {
+    mayContinue: async (previous) => {
       if (mayRepeat()) return true;
-      await Promise.race([serverEnds.judge(left), waitFor(clock, VERDICT_WAIT_MS)]);
+      await Promise.race([
+        crashDetector.check(previous),
+        waitFor(clock, VERDICT_WAIT_MS),
+      ]);
       return mayRepeat();
     },
     onBroken: (attempt) => {
       const { server } = attempt;
       const run = measureRun(attempt);
-      if (mayHaveEnded(run)) brokeOff.add(server.entry.id);
-      void judgeBroken(server, run);
+      if (mayHaveEnded(run)) suspectedServers.add(server.entry.id);
+      void checkBroken(server, run);
     },
     onServed: () => guard.recordServed(getDigest),
   };
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwarding: clients' requests to backend servers, and the answers back, unchanged. */
+/** Forwards clients' requests to backend servers, and the answers back, unchanged. */
 export type * from "./types.js";
 export type {
   AdmittedRequest,
@@ -8,7 +8,7 @@
   ForwardObserver,
   Placer,
 } from "./forwarderTypes.js";
-export type { Framing, ServerStatus as ServerStanding } from "./describeBytesEnd.js";
+export type { Framing, ServerStatus } from "./describeAnswerEnd.js";
 export { createActiveRuns } from "./activeRuns.js";
 export type {
   ActiveRun,
@@ -26,11 +26,7 @@
 export { computeClientConnections } from "./computeClientConnections.js";
 export { computePlacingTerms, hasRoomFor, placeWithRoom } from "./placeWithRoom.js";
 export type { PlacingTerms } from "./placeWithRoom.js";
-export type {
-  Advice,
-  AdviceRequest,
-  PlacementAdvisor as PlaceAdviser,
-} from "./placeByAdvice.js";
-export { createWaitQueue as createWaitingRoom } from "./waitQueue.js";
-export type { Waiting, WaitQueue as WaitingRoom } from "./waitQueue.js";
+export type { Advice, AdviceRequest, PlacementAdvisor } from "./placeByAdvice.js";
+export { createWaitQueue } from "./waitQueue.js";
+export type { Waiting, WaitQueue } from "./waitQueue.js";
 export { computeSlackShare } from "./computeSlackShare.js";
--- a/packages/forwarding/src/openExchange.ts
+++ b/packages/forwarding/src/openExchange.ts
@@ -1,8 +1,9 @@
 /**
- * One request to one server over a connection of its own.
+ * Sends one request to one server over a separate connection.
  *
- * NOTE: connections are not kept. A kept one can carry a surplus answer into the place of the next, or
- * close while a request that may run once is on its way; docs/design/users-platform.md weighs the cost.
+ * NOTE: connections are not reused. On a reused one, surplus bytes could be taken as the answer to the
+ * next request, or the server could close it while a request that may run only once is being sent. See
+ * docs/design/users-platform.md for the cost.
  */
 import { request as openRequest, type IncomingMessage } from "node:http";
 import { connect } from "node:net";
@@ -10,39 +11,39 @@
 import type { ServerAddress } from "@stairgauge/directory";
 import type { ExchangeFailure, RawHeaders } from "./types.js";
 
-/** Most bytes of a server's answer head. */
+/** Largest head of a server's answer. */
 const ANSWER_HEAD_BYTES = 64 * 1024;
 
-/** What is sent. */
+/** The request to send. */
 export type ExchangeRequest = Readonly<{
   address: ServerAddress;
   method: string;
   target: string;
   headers: RawHeaders;
   body: Buffer;
-  /** How long a connection may take to come up. */
+  /** Timeout for establishing the connection. */
   connectLimit: Ms;
 }>;
 
-/** What ended an answer: its own framing, or its connection, closed in order while the answer could have gone on. */
+/** What ended an answer: its framing, or a normal close of the connection that the framing does not prove complete. */
 export type EndedBy = "framing" | "connection";
 
-/** What happens during an exchange; after `onEnd` or `onFailure` nothing more comes. */
+/** Receives the answer; `onEnd` and `onFailure` are final. */
 export type ExchangeSink = Readonly<{
   onHead: (status: number, headers: RawHeaders, reason: string) => void;
   onData: (chunk: Buffer) => void;
-  /** The answer has ended without an error; what that proves depends on what ended it. */
+  /** The answer has ended without an error; whether it is complete depends on `endedBy`. */
   onEnd: (endedBy: EndedBy) => void;
   onFailure: (failure: ExchangeFailure) => void;
 }>;
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export type Exchange = Readonly<{
-  /** Breaks it off; the sink hears nothing more. */
+  /** Closes the connection; the sink is not called any more. */
   cancel: () => void;
   pause: () => void;
   resume: () => void;
-  /** Whether a connection came up, so that the server may have the request. */
+  /** Whether a connection was established, so that the server may have received the request. */
   isSent: () => boolean;
 }>;
 
@@ -54,7 +55,7 @@
   return error instanceof Error ? error.message : "unknown";
 };
 
-/** Sends a request; the answer comes to the sink. */
+/** Sends a request and passes the answer to the sink. */
 export const openExchange = (
   clock: Clock,
   exchange: ExchangeRequest,
@@ -63,7 +64,7 @@
   const { address, method, target, headers, body, connectLimit } = exchange;
   let isConnected = false;
   let isOver = false;
-  /** The answer has come whole as far as its bytes tell; what its connection does later says nothing of it. */
+  /** The answer was complete when its connection closed; later errors of the connection are ignored. */
   let isProven = false;
   let answer: IncomingMessage | undefined;
   let endedBy: EndedBy = "framing";
@@ -104,9 +105,9 @@
     headers: headers as string[],
     maxHeaderSize: ANSWER_HEAD_BYTES,
   });
-  // NOTE: the runtime reports a reset that arrives with the last bytes as an end in order. Only a
-  // write tells them apart, and only an answer that has not ended before needs to know; the empty
-  // line is one that servers skip between requests.
+  // NOTE: Node.js reports a reset that arrives with the last bytes as a normal end. Only a write that
+  // fails reveals the reset, and this matters only for an answer that is not complete yet. Servers
+  // skip an empty line between requests, so writing one is harmless.
   socket.prependListener("end", () => {
     if (!answer || answer.complete) return;
     endedBy = "connection";
@@ -129,7 +130,7 @@
     });
     incoming.on("end", () => {
       if (!incoming.complete) return;
-      // The end counts only when the turn passes without an error.
+      // An error may still arrive in this turn of the event loop; the end counts only if none does.
       setImmediate(() => {
         if (!finish()) return;
         socket.destroy();
--- a/packages/forwarding/src/pausedEnd.test.ts
+++ b/packages/forwarding/src/pausedEnd.test.ts
@@ -1,8 +1,9 @@
 /**
- * A client reads slower than its server writes, so the box pauses the server's answer. An answer without a length or chunks
- * then ends with its connection while its last bytes wait at the box. To tell a reset from an end in order the box writes an
- * empty line; a server that has closed its side of the connection for good answers that with a reset, which it does after
- * every whole answer. The reset overtakes the bytes that wait, and the whole answer is broken off.
+ * If a client reads slower than its server writes, the box pauses the server's answer. An answer without
+ * a length or chunks then ends with its connection while its last bytes are still buffered at the box.
+ * To detect a reset, the box writes an empty line. A server that has closed the connection in both
+ * directions answers the line with a reset, also after a complete answer. If the box processes the reset
+ * before the buffered bytes, it breaks off a complete answer.
  */
 import { createServer, type AddressInfo, type Socket } from "node:net";
 import { afterEach, expect, it } from "vitest";
@@ -18,12 +19,12 @@
   for (const close of closers.splice(0)) close();
 });
 
-/** Sends a whole answer in two writes, then closes its connection in order, in both directions. */
+/** Sends a complete answer in two writes, then closes the connection normally in both directions. */
 const sendAndClose = (socket: Socket, framing: string) => {
   socket.write(`HTTP/1.1 200 OK\r\n${framing}\r\n${FIRST}`);
   setTimeout(() => socket.write(LAST, () => socket.destroy()), 20);
 };
-/** Resets it instead, once the whole answer has been read. */
+/** Sends a complete answer in two writes, and resets the connection once the answer has been read. */
 const sendAndReset = (socket: Socket, framing: string) => {
   socket.write(`HTTP/1.1 200 OK\r\n${framing}\r\n${FIRST}`);
   setTimeout(() => socket.write(LAST), 20);
@@ -31,7 +32,7 @@
 };
 const LENGTH = `Content-Length: ${FIRST.length + LAST.length}\r\n`;
 
-const listenSlowly = (port: number, pauseMs: number) =>
+const readSlowly = (port: number, pauseMs: number) =>
   new Promise<{ body: string; end: string }>((resolve) => {
     let body = "";
     const exchange: Exchange = openExchange(
@@ -65,7 +66,7 @@
 ];
 
 it.each(WAYS.flatMap((way) => [0, 150].map((pauseMs) => ({ ...way, pauseMs }))))(
-  "a whole answer comes whole: $way, paused for $pauseMs ms",
+  "a complete answer is received completely: connection $way, reader paused for $pauseMs ms",
   async ({ send, framing, end, pauseMs }) => {
     const server = createServer((socket) => {
       socket.on("error", () => undefined);
@@ -74,6 +75,6 @@
     await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
     closers.push(() => server.close());
     const { port } = server.address() as AddressInfo;
-    expect(await listenSlowly(port, pauseMs)).toEqual({ body: FIRST + LAST, end });
+    expect(await readSlowly(port, pauseMs)).toEqual({ body: FIRST + LAST, end });
   },
 );
--- a/packages/forwarding/src/placeByAdvice.test.ts
+++ b/packages/forwarding/src/placeByAdvice.test.ts
@@ -1,4 +1,4 @@
-/** Placing by another box's advice, and without it. */
+/** Tests placement with and without a hub's advice. */
 import { describe, expect, it } from "vitest";
 import {
   advanceSettled,
@@ -32,7 +32,7 @@
 const DECIDED: Advice = { kind: "decided", decision: ADVISED, by: "hub" };
 const TOKENS = { prompt: 3_000, expectedOut: 200, isMovable: true };
 
-/** Answers come after 5 ms each, in turn; `undefined` is none in time. */
+/** The hub gives these answers in turn, after 5 ms each; `undefined` means no answer in time. */
 const setUp = (
   answers: readonly (Advice | undefined)[],
   changes: Partial<PlaceableRequest> & { isNeeded?: boolean } = {},
@@ -41,7 +41,7 @@
   const script = [...answers];
   const asked: AdviceRequest["urgency"][] = [];
   const placed: (readonly [PlacementDecision, string | undefined])[] = [];
-  const told: string[] = [];
+  const reported: string[] = [];
   const request: PlaceableRequest = {
     id: "r" as ClientRequestId,
     demand: { tier: 1, tokens: TOKENS },
@@ -65,14 +65,14 @@
   const steps = {
     choose: () => OWN,
     place: (decision: PlacementDecision, by?: string) => placed.push([decision, by]),
-    tell: ({ kind }: { kind: string }) => told.push(kind),
+    tell: ({ kind }: { kind: string }) => reported.push(kind),
   };
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
-  return { deps, request, steps, asked, placed, told, advance };
+  return { deps, request, steps, asked, placed, reported, advance };
 };
 
 describe("placeByAdvice", () => {
-  it("places where the hub says, and names it", async () => {
+  it("places at the hub's choice, and reports the hub", async () => {
     const { deps, request, steps, placed, asked, advance } = setUp([DECIDED]);
     placeByAdvice(deps, request, steps);
     await advance(10);
@@ -80,17 +80,20 @@
     expect(asked).toEqual([{ kind: "if_room" }]);
   });
 
-  it("waits there for what is left of its time while every engine is full", async () => {
+  it("waits at the hub for the remaining time while every engine is full", async () => {
     const full: Advice = { kind: "no_room", memoryAfter: 1.2 };
-    const { deps, request, steps, placed, asked, told, advance } = setUp([full, DECIDED]);
+    const { deps, request, steps, placed, asked, reported, advance } = setUp([
+      full,
+      DECIDED,
+    ]);
     placeByAdvice(deps, request, steps);
     await advance(20);
     expect(asked).toEqual([{ kind: "if_room" }, { kind: "within", wait: 395 }]);
-    expect(told).toEqual(["waits"]);
+    expect(reported).toEqual(["waits"]);
     expect(placed).toEqual([[ADVISED, "hub"]]);
   });
 
-  it("decides by itself when no advice comes, when none is needed, and for what is no generation", async () => {
+  it("decides by itself without advice, if none is needed, and for requests that are no generation", async () => {
     const silent = setUp([undefined]);
     placeByAdvice(silent.deps, silent.request, silent.steps);
     await silent.advance(10);
@@ -106,7 +109,7 @@
     }
   });
 
-  it("places nothing for a client that leaves meanwhile", async () => {
+  it("places nothing if the client disconnects before the advice arrives", async () => {
     const { deps, request, steps, placed, advance } = setUp([DECIDED]);
     const leave = placeByAdvice(deps, request, steps);
     leave();
@@ -116,7 +119,7 @@
 });
 
 describe("placeAgain", () => {
-  it("asks for a place at once, full or not, and decides by itself without an answer", async () => {
+  it("asks for an immediate placement, and decides by itself without an answer", async () => {
     const advised = setUp([DECIDED]);
     placeAgain(advised.deps, advised.request, advised.steps);
     await advised.advance(10);
--- a/packages/forwarding/src/placeByAdvice.ts
+++ b/packages/forwarding/src/placeByAdvice.ts
@@ -1,7 +1,8 @@
 /**
- * A generation's placement at a site of many boxes, where each sees hardly anything of what the others place: a box that hears of
- * all placements says where it goes, and keeps it waiting while every engine is full, so that all boxes' requests wait in
- * one order. Without its advice in time this box decides by what it knows itself.
+ * Places generations at a site with many boxes, where a single box sees only a few of all placements.
+ * The box asks a hub, a box that receives all placements. The hub chooses the server; while every
+ * engine is full it queues the request, so that the requests of all boxes wait in one order. If the
+ * hub does not answer in time, the box decides by its own data.
  */
 import type { Ms, ServiceName } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
@@ -10,7 +11,7 @@
 import { placeWithRoom, type PlacingSteps, type PlacingTerms } from "./placeWithRoom.js";
 import type { ClientRequestId } from "./types.js";
 
-/** What is asked. */
+/** A request for advice. */
 export type AdviceRequest = Readonly<{
   id: ClientRequestId;
   service: ServiceName;
@@ -18,25 +19,25 @@
   tokens: NonNullable<Demand["tokens"]>;
   regions?: Demand["regions"];
   except: ReadonlySet<ServerId>;
-  /** What the one who is asked does while every engine is full. */
+  /** What the hub does while every engine is full. */
   urgency: PlaceUrgency;
 }>;
 
-/** What is answered. */
+/** The hub's answer: a decision and the box that made it, or that every engine is full. */
 export type Advice = Readonly<
   | { kind: "decided"; decision: PlacementDecision; by: string }
   | { kind: "no_room"; memoryAfter: number }
 >;
 
-/** Who is asked. */
+/** Asks hubs for advice. */
 export type PlacementAdvisor = Readonly<{
-  /** Whether another box sees more than this one. */
+  /** Whether another box receives more placements than this one. */
   isNeeded: () => boolean;
-  /** Undefined when no advice came in time. */
+  /** Resolves with undefined if no advice arrived in time. */
   ask: (request: AdviceRequest, signal: AbortSignal) => Promise<Advice | undefined>;
 }>;
 
-/** A request to be placed. */
+/** A request to be placed; servers in `except` are not chosen. */
 export type PlaceableRequest = Readonly<{
   id: ClientRequestId | undefined;
   demand: Demand;
@@ -44,7 +45,7 @@
   except: ReadonlySet<ServerId>;
 }>;
 
-/** What happens with a placement; `by` names the box that made it, if another did. */
+/** Callbacks of a placement; `by` is the box that made the decision, undefined if this box did. */
 export type AdvisedSteps = Omit<PlacingSteps, "place"> &
   Readonly<{ place: (decision: PlacementDecision, by?: string) => void }>;
 
@@ -60,7 +61,7 @@
   return { id, service, tier, tokens, regions, except };
 };
 
-/** Places a request for the first time; the function returned takes it back while it waits. */
+/** Places a request for the first time; the returned function cancels the placement while it waits. */
 export const placeByAdvice = (
   deps: Deps,
   request: PlaceableRequest,
@@ -69,19 +70,22 @@
   const { clock, adviser, waitingRoom } = deps;
   const { terms } = request;
   const placeHere = () => placeWithRoom({ waitingRoom }, terms, steps);
-  const asked = buildAdviceRequest(request);
-  if (!asked || !adviser.isNeeded()) return placeHere();
+  const adviceRequest = buildAdviceRequest(request);
+  if (!adviceRequest || !adviser.isNeeded()) return placeHere();
 
   const call = new AbortController();
   let leave = () => call.abort();
   const askWhenFull = (memoryAfter: number) => {
     steps.tell({ kind: "waits", memoryAfter, waiting: undefined });
     const wait = Math.max(0, terms.until - clock.monotonic()) as Ms;
-    return adviser.ask({ ...asked, urgency: { kind: "within", wait } }, call.signal);
+    return adviser.ask(
+      { ...adviceRequest, urgency: { kind: "within", wait } },
+      call.signal,
+    );
   };
   const askForPlace = async () => {
     const first = await adviser.ask(
-      { ...asked, urgency: { kind: "if_room" } },
+      { ...adviceRequest, urgency: { kind: "if_room" } },
       call.signal,
     );
     if (first?.kind !== "no_room" || call.signal.aborted) return first;
@@ -95,20 +99,20 @@
   return () => leave();
 };
 
-/** Places a request anew, after a server that did not bring it to an end: at once, wherever there is least to wait. */
+/** Places a request again after a failed attempt: at once, even if every engine is full. */
 export const placeAgain = (
   { adviser }: Pick<Deps, "adviser">,
   request: PlaceableRequest,
   { choose, place }: Omit<AdvisedSteps, "tell">,
 ): (() => void) => {
-  const asked = buildAdviceRequest(request);
-  if (!asked || !adviser.isNeeded()) {
+  const adviceRequest = buildAdviceRequest(request);
+  if (!adviceRequest || !adviser.isNeeded()) {
     place(choose());
     return () => undefined;
   }
   const call = new AbortController();
   const urgency = { kind: "at_once" } as const;
-  void adviser.ask({ ...asked, urgency }, call.signal).then((advice) => {
+  void adviser.ask({ ...adviceRequest, urgency }, call.signal).then((advice) => {
     if (call.signal.aborted) return;
     if (advice?.kind === "decided") place(advice.decision, advice.by);
     else place(choose());
--- a/packages/forwarding/src/placeWithRoom.test.ts
+++ b/packages/forwarding/src/placeWithRoom.test.ts
@@ -16,55 +16,55 @@
   candidates: 2,
 });
 
-/** Places one request at time 0 with a time to the first answer of 1,000 ms. */
-const setUp = (first: PlacementDecision, room = createRoom()) => {
+/** Places one request at time 0 whose target time to the first answer is 1,000 ms. */
+const setUp = (first: PlacementDecision, queue = createQueue()) => {
   let decision = first;
   const placed: PlacementDecision[] = [];
-  const told: string[] = [];
+  const reported: string[] = [];
   const request = {
     service: "writers" as ServiceName,
     workspace: undefined,
     route: { tier: 1, firstAnswerAim: 1_000 as Ms } as Route,
     receivedAt: 0 as Ms,
   };
-  const leave = placeWithRoom(room, computePlacingTerms(request), {
+  const leave = placeWithRoom(queue, computePlacingTerms(request), {
     choose: () => decision,
     place: (chosen) => placed.push(chosen),
-    tell: ({ kind }) => told.push(kind),
+    tell: ({ kind }) => reported.push(kind),
   });
   const change = (next: PlacementDecision) => {
     decision = next;
   };
-  const advance = (duration: number) => room.clock.advance(duration as Ms);
-  return { room, placed, told, leave, change, advance };
+  const advance = (duration: number) => queue.clock.advance(duration as Ms);
+  return { queue, placed, reported, leave, change, advance };
 };
-const createRoom = () => {
+const createQueue = () => {
   const clock = createVirtualClock();
   return { clock, waitingRoom: createWaitQueue(clock) };
 };
 
 describe("placeWithRoom", () => {
-  it("places at once where there is room, and plain requests always", () => {
+  it("places at once if there is capacity, and plain requests always", () => {
     expect(setUp(makePlaced(0.9)).placed).toHaveLength(1);
     expect(setUp(makePlaced(undefined)).placed).toHaveLength(1);
   });
 
-  it("hands on at once that there is no server", () => {
+  it("passes the decision on at once if there is no server", () => {
     const none = { kind: "no_server", reason: "none_known", known: 0 } as const;
     expect(setUp(none).placed).toEqual([none]);
   });
 
-  it("waits while every engine is full and takes the first that has room", () => {
-    const { placed, told, change, advance } = setUp(makePlaced(1.1));
+  it("waits while every engine is full, and places once one has capacity", () => {
+    const { placed, reported, change, advance } = setUp(makePlaced(1.1));
     advance(200);
     expect(placed).toEqual([]);
-    expect(told).toEqual(["waits"]);
+    expect(reported).toEqual(["waits"]);
     change(makePlaced(0.4));
     advance(30);
     expect(placed).toEqual([makePlaced(0.4)]);
   });
 
-  it("is placed in a full engine when the wait would cost its first answer", () => {
+  it("places at a full engine after 40 % of the target time to the first answer", () => {
     const { placed, advance } = setUp(makePlaced(1.1));
     advance(390);
     expect(placed).toEqual([]);
@@ -72,15 +72,15 @@
     expect(placed).toEqual([makePlaced(1.1)]);
   });
 
-  it("does not pass one that waits already", () => {
-    const { room } = setUp(makePlaced(1.1));
-    const second = setUp(makePlaced(0.5), room);
+  it("does not overtake a waiting request", () => {
+    const { queue } = setUp(makePlaced(1.1));
+    const second = setUp(makePlaced(0.5), queue);
     expect(second.placed).toEqual([]);
     second.advance(30);
     expect(second.placed).toEqual([]);
   });
 
-  it("places nothing for a client that has left", () => {
+  it("places nothing after the client disconnects", () => {
     const { placed, leave, advance } = setUp(makePlaced(1.1));
     leave();
     advance(2_000);
--- a/packages/forwarding/src/placeWithRoom.ts
+++ b/packages/forwarding/src/placeWithRoom.ts
@@ -1,4 +1,4 @@
-/** A request's first placement: at once, or when an engine has room for it. */
+/** First placement of a request: at once, or as soon as an engine has capacity for it. */
 import type { Ms, ServiceName } from "@stairgauge/common";
 import type { PlacementDecision } from "@stairgauge/placement";
 import type { Route, WorkspaceSpec } from "@stairgauge/routing";
@@ -10,37 +10,40 @@
 } from "./forwarderTypes.js";
 import type { WaitQueue } from "./waitQueue.js";
 
-/** Share of an engine's memory that may be spoken for, outputs to come included, before newcomers wait. */
+/** Share of an engine's memory that may be reserved, including expected outputs, before new requests wait. */
 const FULL_MEMORY = 0.95;
 
-/** Share of the time to the first answer that a request may wait for room: the rest is for its prompt. */
+/**
+ * Share of the target time to the first answer that a request may spend waiting for capacity. The
+ * remaining time is for processing its prompt.
+ */
 const WAIT_SHARE = 0.4;
 
-/** What the one who places does. */
+/** Callbacks of a placement. */
 export type PlacingSteps = Readonly<{
   choose: () => PlacementDecision;
-  /** Sends the request by a choice, or answers it when there is no server. */
+  /** Sends the request to the chosen server, or answers it if there is none. */
   place: (decision: PlacementDecision) => void;
   tell: (decision: ForwardDecision) => void;
 }>;
 
-/** On what terms a generation is placed. */
+/** Conditions of a placement. */
 export type PlacingTerms = Readonly<{
   service: ServiceName;
-  /** Rank, 0 first. */
+  /** Priority, 0 is the highest. */
   tier: number;
-  /** Time at which it is placed wherever there is least to wait. */
+  /** Time at which the request is placed even if every engine is full. */
   until: Ms;
 }>;
 
-/** What the terms follow from. */
+/** Inputs of `computePlacingTerms`. */
 export type TermsInputs = Pick<AdmittedRequest, "service" | "receivedAt"> &
   Readonly<{
     workspace: Pick<WorkspaceSpec, "tier"> | undefined;
     route: Pick<Route, "tier" | "firstAnswerAim">;
   }>;
 
-/** Derives the terms of a request. */
+/** Computes the terms of a request. */
 export const computePlacingTerms = ({
   service,
   workspace,
@@ -52,7 +55,10 @@
   until: (receivedAt + route.firstAnswerAim * WAIT_SHARE) as Ms,
 });
 
-/** Whether waiting helps: an engine has room soon, or a cold server may get more. */
+/**
+ * Whether to act on the decision now. Waiting helps only if the chosen engine is full, or if cold
+ * servers have reached the request rate allowed during warm-up.
+ */
 const mayPlace = (decision: PlacementDecision): boolean =>
   decision.kind === "placed"
     ? getMemoryAfter(decision) <= FULL_MEMORY
@@ -61,7 +67,7 @@
 const getMemoryAfter = (decision: PlacementDecision): number =>
   decision.kind === "placed" ? (decision.memoryAfter ?? 0) : 0;
 
-/** Whether a request may go where a choice says, or has to wait. */
+/** Whether a request may be placed as decided; otherwise it has to wait. */
 export const hasRoomFor = (
   waitingRoom: WaitQueue,
   { service, tier }: Pick<PlacingTerms, "service" | "tier">,
@@ -72,7 +78,7 @@
   return mayPlace(decision) && !hasAhead;
 };
 
-/** Places the request, or lets it wait; the function returned takes it out of the waiting room. */
+/** Places the request or queues it; the returned function removes it from the queue. */
 export const placeWithRoom = (
   { waitingRoom }: Pick<ForwarderDeps, "waitingRoom">,
   terms: PlacingTerms,
--- a/packages/forwarding/src/readRequestBody.ts
+++ b/packages/forwarding/src/readRequestBody.ts
@@ -1,15 +1,15 @@
-/** Reads a client's body whole, within the configured bound. */
+/** Reads the complete body of a client's request, up to the configured limit. */
 import type { IncomingMessage } from "node:http";
 import { Err, Ok, type Result } from "@stairgauge/common";
 
-/** Why a body was not read. */
+/** Why a body could not be read. */
 export type RequestBodyFailure = Readonly<
   | { kind: "too_long"; limit: number }
-  /** The client left, or broke its own framing. */
+  /** The client disconnected, or sent invalid framing. */
   | { kind: "client_left" }
 >;
 
-/** Reads the body; more than `limit` bytes are not kept. */
+/** Reads the body; never buffers more than `limit` bytes. */
 export const readRequestBody = (
   incoming: IncomingMessage,
   limit: number,
--- a/packages/forwarding/src/retryBudget.test.ts
+++ b/packages/forwarding/src/retryBudget.test.ts
@@ -7,7 +7,7 @@
 const WINDOW = 10_000;
 
 describe("createRetryBudget", () => {
-  it("keeps all boxes together within the bound, however their requests are spread", () => {
+  it("keeps all boxes together within the limit, however requests are distributed (property)", () => {
     const boxes = 4;
     const slack = 8;
     fc.assert(
@@ -44,7 +44,7 @@
     );
   });
 
-  it("gives a repeat back once its window has passed", () => {
+  it("allows another repeat once the window has passed", () => {
     const limits = { ratio: 0, slack: 1, window: WINDOW as Ms };
     const budget = createRetryBudget(() => limits);
     expect(budget.take(service, 0 as Ms)).toBe(true);
--- a/packages/forwarding/src/retryBudget.ts
+++ b/packages/forwarding/src/retryBudget.ts
@@ -1,19 +1,19 @@
-/** How often requests may be sent to a second server, over a sliding window. Pure but for the time handed in. */
+/** Limits how often requests are sent to another server, over a sliding window. The caller passes the time. */
 import type { Ms, ServiceName } from "@stairgauge/common";
 
-/** The bound that all boxes share, and this box's part of it. */
+/** Limits of the budget: the ratio is the same at all boxes, the slack is this box's share. */
 export type RetryBudgetLimits = Readonly<{
-  /** Repeats allowed for each request of the window. */
+  /** Repeats allowed per request in the window. */
   ratio: number;
-  /** Repeats allowed besides, at this box. */
+  /** Additional repeats allowed in the window, regardless of the number of requests. */
   slack: number;
   window: Ms;
 }>;
 
-/** Counts requests and repeats by service. */
+/** Counts the requests and repeats of each service. */
 export type RetryBudget = Readonly<{
   recordRequest: (service: ServiceName, now: Ms) => void;
-  /** Takes a repeat from the budget; false when none is left. */
+  /** Takes one repeat from the budget; false if it is used up. */
   take: (service: ServiceName, now: Ms) => boolean;
 }>;
 
@@ -25,17 +25,17 @@
   if (old > 0) times.splice(0, old);
 };
 
-/** Creates a budget with nothing spent. */
+/** Creates an unused budget. */
 export const createRetryBudget = (getLimits: () => RetryBudgetLimits): RetryBudget => {
   const counts = new Map<ServiceName, ServiceCounts>();
 
   const getCounts = (service: ServiceName, now: Ms): ServiceCounts => {
-    const known = counts.get(service) ?? { requests: [], repeats: [] };
-    counts.set(service, known);
+    const serviceCounts = counts.get(service) ?? { requests: [], repeats: [] };
+    counts.set(service, serviceCounts);
     const start = now - getLimits().window;
-    dropBefore(known.requests, start);
-    dropBefore(known.repeats, start);
-    return known;
+    dropBefore(serviceCounts.requests, start);
+    dropBefore(serviceCounts.repeats, start);
+    return serviceCounts;
   };
 
   return {
--- a/packages/forwarding/src/sendOwnAnswer.ts
+++ b/packages/forwarding/src/sendOwnAnswer.ts
@@ -1,15 +1,15 @@
-/** A final answer of the system's own: told, encoded and sent in one place. */
+/** Reports, encodes and sends a final answer that the box generates itself. */
 import type { Ms } from "@stairgauge/common";
 import type { NoServerReason } from "@stairgauge/placement";
 import type { Route } from "@stairgauge/routing";
 import type { AdmittedRequest, ForwarderDeps, RefusalReason } from "./forwarderTypes.js";
 import type { OwnAnswer } from "./types.js";
 
-/** An answer with its reason, and what the last server did. */
+/** An answer with its reason, and how the last attempt ended (undefined if there was none). */
 export type ReasonedAnswer = OwnAnswer &
   Readonly<{ reason: RefusalReason; detail?: string | undefined }>;
 
-/** Why a request is refused for which there is no server. */
+/** Reason of the refusal for each reason why no server could be chosen. */
 export const REFUSAL_OF_NO_SERVER: Readonly<Record<NoServerReason, RefusalReason>> = {
   none_known: "no_server_known",
   none_in_regions: "no_server_in_regions",
@@ -20,19 +20,22 @@
   none_left: "no_server_known",
 };
 
-/** The answer to a request that goes to no server for so long; a promise that it has not run only where that is so. */
-export const makeBlockedAnswer = (left: Ms, mayHaveRun: boolean): ReasonedAnswer => {
+/**
+ * Builds the answer to a request that is blocked for another `remaining`. Status 503 promises that the
+ * request has not run, so it is used only if that is certain.
+ */
+export const makeBlockedAnswer = (remaining: Ms, mayHaveRun: boolean): ReasonedAnswer => {
   const reason = "servers_end_under_it";
   return mayHaveRun
     ? { status: 502, reason, retryAfter: undefined }
-    : { status: 503, reason, retryAfter: left };
+    : { status: 503, reason, retryAfter: remaining };
 };
 
-/** Whose answer it is. */
+/** The request to answer. */
 export type AnsweredRequest = Pick<AdmittedRequest, "head" | "answer" | "receivedAt"> &
   Readonly<{ route: Route | undefined }>;
 
-/** Sends the answer, with its reason as the body. */
+/** Sends the answer, with its reason in the body. */
 export const sendOwnAnswer = (
   { clock, codec, observer }: Pick<ForwarderDeps, "clock" | "codec" | "observer">,
   { head, route, answer, receivedAt }: AnsweredRequest,
--- a/packages/forwarding/src/server.testkit.ts
+++ b/packages/forwarding/src/server.testkit.ts
@@ -1,8 +1,8 @@
-/** A backend server as tests need one. */
+/** Backend servers for tests. */
 import type { DataHallName, Ms, ServiceName } from "@stairgauge/common";
 import type { BackendServer, ServerId, ServerName } from "@stairgauge/directory";
 
-/** Makes an engine that stays. */
+/** Creates an engine that is not leaving. */
 export const makeServer = (id: string): BackendServer => ({
   entry: {
     id: id as ServerId,
--- a/packages/forwarding/src/streamRelay.test.ts
+++ b/packages/forwarding/src/streamRelay.test.ts
@@ -3,7 +3,7 @@
 import type { ClientAnswer, WholeHead } from "./clientAnswer.js";
 import { createStreamRelay } from "./streamRelay.js";
 
-const makeRelay = (askedBehind?: string) => {
+const makeRelay = (resumeAfter?: string) => {
   const heads: WholeHead[] = [];
   let sent = "";
   let isEnded = false;
@@ -25,7 +25,7 @@
   const relay = createStreamRelay({
     clock: createSystemClock(),
     answer,
-    askedBehind,
+    resumeAfter,
     onFirstEvent: () => undefined,
   });
   return { relay, heads, getSent: () => sent, isEnded: () => isEnded };
@@ -34,7 +34,7 @@
 const makeEvent = (id: number, by: string) => `id: ${id}\ndata: ${by}\n\n`;
 
 describe("createStreamRelay", () => {
-  it("drops what a leg leaves behind when the next one begins", () => {
+  it("drops the incomplete event of a segment when the next one begins", () => {
     const { relay, getSent } = makeRelay();
     relay.beginSegment([], "").push(Buffer.from(`${makeEvent(0, "a")}id: 1\nda`));
     const next = relay.beginSegment([], "");
@@ -43,7 +43,7 @@
     expect(getSent()).toBe(makeEvent(0, "a") + makeEvent(1, "b"));
   });
 
-  it("takes nothing more from a leg once another has begun, nor its end", () => {
+  it("ignores further bytes and the end of a segment once another has begun", () => {
     const { relay, getSent, isEnded } = makeRelay();
     const first = relay.beginSegment([], "");
     first.push(Buffer.from(makeEvent(0, "a")));
@@ -54,7 +54,7 @@
     expect(isEnded()).toBe(false);
   });
 
-  it("sends the head of the server whose event goes out first, and no other", () => {
+  it("sends only the head of the server whose event is forwarded first", () => {
     const { relay, heads } = makeRelay();
     relay.beginSegment(["Signature", "a"], "").push(Buffer.from("id: 0\nda"));
     relay.beginSegment(["Signature", "b"], "").push(Buffer.from(makeEvent(0, "b")));
@@ -62,17 +62,20 @@
     expect(heads.map(({ headers }) => headers)).toEqual([["Signature", "b"]]);
   });
 
-  it.each([0, 1, 3])("passes nothing on of a leg that begins at %i behind 1", (first) => {
-    const { relay, getSent } = makeRelay();
-    relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a") + makeEvent(1, "a")));
-    const leg = relay.beginSegment([], "");
-    const step = { kind: "does_not_follow", eventId: String(first), behind: "1" };
-    expect(leg.push(Buffer.from(makeEvent(first, "b")))).toEqual(step);
-    expect(leg.push(Buffer.from(makeEvent(2, "b")))).toEqual({ kind: "held" });
-    expect(getSent()).toBe(makeEvent(0, "a") + makeEvent(1, "a"));
-  });
+  it.each([0, 1, 3])(
+    "forwards nothing of a segment that starts at %i after 1",
+    (first) => {
+      const { relay, getSent } = makeRelay();
+      relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a") + makeEvent(1, "a")));
+      const segment = relay.beginSegment([], "");
+      const step = { kind: "does_not_follow", eventId: String(first), behind: "1" };
+      expect(segment.push(Buffer.from(makeEvent(first, "b")))).toEqual(step);
+      expect(segment.push(Buffer.from(makeEvent(2, "b")))).toEqual({ kind: "held" });
+      expect(getSent()).toBe(makeEvent(0, "a") + makeEvent(1, "a"));
+    },
+  );
 
-  it("passes nothing on of a first leg that overlooks what the client asked behind", () => {
+  it("forwards nothing of a first segment that ignores the event to resume after", () => {
     const { relay, getSent, heads } = makeRelay("4");
     relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a")));
     expect([getSent(), heads]).toEqual(["", []]);
@@ -80,25 +83,25 @@
     expect(getSent()).toBe(makeEvent(5, "b"));
   });
 
-  it("gives up a leg whose event never ends, and what it holds of it", () => {
+  it("gives up a segment whose event never ends, and drops its buffered bytes", () => {
     const { relay, getSent } = makeRelay();
-    const leg = relay.beginSegment([], "");
-    leg.push(Buffer.from(makeEvent(0, "a")));
+    const segment = relay.beginSegment([], "");
+    segment.push(Buffer.from(makeEvent(0, "a")));
     const part = Buffer.alloc(64 * 1024, "x");
-    const steps = Array.from({ length: 10 }, () => leg.push(part).kind);
+    const steps = Array.from({ length: 10 }, () => segment.push(part).kind);
     expect(steps).toContain("too_long");
     expect(steps.at(-1)).toBe("held");
     relay.beginSegment([], "").push(Buffer.from(makeEvent(1, "b")));
     expect(getSent()).toBe(makeEvent(0, "a") + makeEvent(1, "b"));
   });
 
-  it("holds comments of a leg back until its first event has joined", () => {
+  it("buffers comments of a segment until its first event proves to follow", () => {
     const { relay, getSent } = makeRelay();
     relay.beginSegment([], "").push(Buffer.from(makeEvent(0, "a")));
-    const leg = relay.beginSegment([], "");
-    expect(leg.push(Buffer.from(": here\n\n"))).toEqual({ kind: "held" });
+    const segment = relay.beginSegment([], "");
+    expect(segment.push(Buffer.from(": here\n\n"))).toEqual({ kind: "held" });
     expect(getSent()).toBe(makeEvent(0, "a"));
-    leg.push(Buffer.from(makeEvent(1, "b")));
+    segment.push(Buffer.from(makeEvent(1, "b")));
     expect(getSent()).toBe(`${makeEvent(0, "a")}: here\n\n${makeEvent(1, "b")}`);
   });
 });
--- a/packages/forwarding/src/streamRelay.ts
+++ b/packages/forwarding/src/streamRelay.ts
@@ -1,63 +1,64 @@
 /**
- * Passes the events of a run on to its client, whole events only, from whichever server makes them.
+ * Forwards the events of a run to its client, complete events only.
  *
- * Each server's part is a leg with a splitter of its own: what one server leaves behind never stands before another's events.
+ * A run may be continued by several servers. Each one's part is a segment with its own splitter, so an
+ * incomplete event of one server is never joined to an event of the next.
  */
 import { assertNever, type Clock, type Ms } from "@stairgauge/common";
-import { addId, canName, checkJoin, createIdSequence } from "./checkJoin.js";
+import { addId, canContinueAfter, checkJoin, createIdSequence } from "./checkJoin.js";
 import type { ClientAnswer } from "./clientAnswer.js";
 import { createEventSplitter, type EventBatch } from "./eventSplitter.js";
 import type { RawHeaders } from "./types.js";
 
-/** What became of a chunk. */
+/** Result of pushing a chunk. */
 export type SegmentStep = Readonly<
-  /** It completes no event, or the leg is no longer the stream's. */
+  /** Nothing was forwarded: the chunk completes no event, or the segment was replaced or given up. */
   | { kind: "held" }
-  /** Whole events were passed on; the client may read slower than they come. */
+  /** Complete events were forwarded; `isClientSlow` if the client's write buffer is full. */
   | { kind: "passed_on"; isClientSlow: boolean }
-  /** An event is longer than what may be held of it. */
+  /** An event is too long to buffer. */
   | { kind: "too_long" }
-  /** The leg's first event does not follow what the client has: nothing of it was passed on. */
+  /** The segment's first event does not follow the client's last one; nothing was forwarded. */
   | {
       kind: "does_not_follow";
       eventId: string | undefined;
-      /** The event that the leg was to go on behind. */
+      /** Id of the event after which the segment had to continue. */
       behind: string | undefined;
     }
 >;
 
-/** The part of a stream that one server makes. */
+/** The part of a stream that one server sends. */
 export type StreamSegment = Readonly<{
   push: (chunk: Buffer) => SegmentStep;
-  /** Bytes of an event whose end has not come. */
+  /** Bytes of an incomplete event. */
   countBytesLeft: () => number;
-  /** The leg has ended whole, and the stream with it. */
+  /** Ends the stream: the segment is complete and the last one. */
   finish: () => void;
 }>;
 
 /** The relay of one stream. */
 export type StreamRelay = Readonly<{
-  /** Begins a server's part; its head goes out with the first event, unless another's has gone out before. */
+  /** Starts the segment of a server. The head of the server whose event is forwarded first is sent; others are dropped. */
   beginSegment: (headers: RawHeaders, reason: string) => StreamSegment;
   hasBegun: () => boolean;
   getEvents: () => number;
-  /** Id of the last event that was passed on, if it has one. */
+  /** Id of the last forwarded event; undefined if there is none or it has no id. */
   getLastEventId: () => string | undefined;
-  /** Whether another server can be told where to go on. */
-  canGoOn: () => boolean;
+  /** Whether the position can be stated to another server that is to continue the stream. */
+  canContinue: () => boolean;
   getPace: () => StreamPace;
 }>;
 
-/** What a relay needs. */
+/** Options of a relay. */
 export type StreamRelayOptions = Readonly<{
   clock: Clock;
   answer: ClientAnswer;
-  /** The event behind which the client itself asked to go on, if any. */
-  askedBehind: string | undefined;
+  /** Id of the event after which the client asked to resume; undefined for a new stream. */
+  resumeAfter: string | undefined;
   onFirstEvent: () => void;
 }>;
 
-/** How a stream came, as its client sees it. */
+/** Timing of a stream's events as forwarded to the client; times are undefined if there were none. */
 export type StreamPace = Readonly<{
   firstEventAt: Ms | undefined;
   longestPause: Ms;
@@ -66,18 +67,18 @@
 
 const STREAM_STATUS = 200;
 
-/** An event that is longer is no event: a server that never ends one would fill the box's memory. */
-const LONGEST_EVENT_BYTES = 512 * 1024;
+/** Largest incomplete event that is buffered. A server that never ends an event would fill the box's memory. */
+const MAX_EVENT_BYTES = 512 * 1024;
 
-/** Comments that wait for the first event of a leg. */
+/** Largest number of buffered comments before the first event of a segment. */
 const MAX_HELD_COMMENTS = 16;
 
-/** Creates a relay before its first leg. */
+/** Creates a relay without segments. */
 export const createStreamRelay = (options: StreamRelayOptions): StreamRelay => {
-  const { clock, answer, askedBehind, onFirstEvent } = options;
+  const { clock, answer, resumeAfter, onFirstEvent } = options;
   let current: StreamSegment | undefined;
   let events = 0;
-  let sequence = createIdSequence(askedBehind);
+  let sequence = createIdSequence(resumeAfter);
   let firstEventAt: Ms | undefined;
   let lastEventAt: Ms | undefined;
   let longestPause = 0 as Ms;
@@ -105,14 +106,14 @@
     return { kind: "passed_on", isClientSlow: !mayGoOn };
   };
 
-  /** Whether what a leg that has not joined sends may go out; comments alone tell nothing of its place. */
-  const judgeJoin = ({
+  /** Whether the first events of a segment may be forwarded; a batch of comments alone does not show its position. */
+  const classifyJoin = ({
     ids,
   }: EventBatch): "joins" | "tells_nothing" | "does_not_follow" => {
     if (!sequence.hasBegun) return "joins";
     if (ids.length === 0) return "tells_nothing";
     const [id] = ids;
-    // Another server's event without an id may stand anywhere in the stream.
+    // The position of another server's event without an id is unknown.
     if (id === undefined) return events > 0 ? "does_not_follow" : "joins";
     const verdict = checkJoin(sequence, id);
     return verdict === "repeats" || verdict === "skips" ? "does_not_follow" : "joins";
@@ -125,19 +126,19 @@
     const begin = () => {
       if (!answer.hasBegun()) answer.begin({ status: STREAM_STATUS, reason, headers });
     };
-    const takeBatch = (batch: EventBatch): SegmentStep => {
+    const sendBatch = (batch: EventBatch): SegmentStep => {
       begin();
       for (const comment of comments.splice(0)) answer.write(comment);
       return passOn(batch);
     };
     const joinBatch = (batch: EventBatch): SegmentStep => {
-      const verdict = judgeJoin(batch);
+      const verdict = classifyJoin(batch);
       switch (verdict) {
         case "joins":
           isJoined = true;
-          return takeBatch(batch);
+          return sendBatch(batch);
         case "tells_nothing":
-          // They may be dropped where there are too many: they are no events.
+          // Excess comments may be dropped, as they are no events.
           if (comments.length < MAX_HELD_COMMENTS) comments.push(batch.bytes);
           return { kind: "held" };
         case "does_not_follow":
@@ -147,28 +148,28 @@
           return assertNever(verdict);
       }
     };
-    const leg: StreamSegment = {
+    const segment: StreamSegment = {
       push: (chunk) => {
-        if (current !== leg) return { kind: "held" };
+        if (current !== segment) return { kind: "held" };
         const batch = splitter.push(chunk);
-        if (splitter.countHeld() > LONGEST_EVENT_BYTES) {
+        if (splitter.countHeldBytes() > MAX_EVENT_BYTES) {
           current = undefined;
           return { kind: "too_long" };
         }
         if (!batch) return { kind: "held" };
-        return isJoined ? takeBatch(batch) : joinBatch(batch);
+        return isJoined ? sendBatch(batch) : joinBatch(batch);
       },
-      countBytesLeft: splitter.countRest,
+      countBytesLeft: splitter.countPendingBytes,
       finish: () => {
-        if (current !== leg) return;
+        if (current !== segment) return;
         begin();
-        for (const bytes of [...comments, splitter.takeRest()])
+        for (const bytes of [...comments, splitter.takePending()])
           if (bytes.length > 0) answer.write(bytes);
         answer.end();
       },
     };
-    current = leg;
-    return leg;
+    current = segment;
+    return segment;
   };
 
   return {
@@ -176,12 +177,12 @@
     hasBegun: () => events > 0,
     getEvents: () => events,
     getLastEventId: () => (events > 0 ? sequence.last : undefined),
-    canGoOn: () => canName(sequence),
+    canContinue: () => canContinueAfter(sequence),
     getPace: () => ({ firstEventAt, longestPause, longestPauseAt }),
   };
 };
 
-/** Describes a whole stream by its pace, in times since its request was received. */
+/** Describes the timing of a complete stream, in times since its request was received. */
 export const describeStreamEnd = (
   relay: Pick<StreamRelay, "getEvents" | "getPace">,
   { receivedAt, now }: Readonly<{ receivedAt: Ms; now: Ms }>,
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -1,117 +1,121 @@
-/** What forwarding hands around: requests as clients sent them, answers as servers gave them. */
+/** Decoded requests of clients and answers of backend servers, and the codec that translates them. */
 import type { Brand, Ms, WorkspaceName } from "@stairgauge/common";
 import type { ServerAddress, ServerName } from "@stairgauge/directory";
 import type { ServerSignals } from "@stairgauge/signals";
 
-/** Identity of one try of a client, chosen by the client. */
+/** Id that a client chooses for a request; a client that retries chooses a new one. */
 export type ClientRequestId = Brand<string, "ClientRequestId">;
 
-/** Headers as name, value, name, value, in the order and spelling in which they came. */
+/** Headers as a flat list (name, value, name, value), in their original order and spelling. */
 export type RawHeaders = readonly string[];
 
-/** Tokens of a generation as its client declares them. */
+/** Tokens of a generation as declared by the client: its prompt, and the largest output. */
 export type TokenUsage = Readonly<{ prompt: number; mostOut: number }>;
 
-/** A client's request head, decoded once at the edge. */
+/** Decoded head of a client's request. */
 export type RequestHead = Readonly<{
   id: ClientRequestId | undefined;
   method: string;
-  /** Path and query, byte for byte. */
+  /** Path and query, unchanged. */
   target: string;
   host: string;
-  /** How long the client waits, counted from the request. */
+  /** How long the client waits for an answer, from when it sent the request; undefined if not stated. */
   patience: Ms | undefined;
   key: string | undefined;
   usage: TokenUsage | undefined;
-  /** The client's guess at the tokens that come out; often far off. */
+  /** The client's estimate of the output tokens, often far off; undefined if not stated. */
   lengthGuess: number | undefined;
-  /** Last event that the client has of a stream it takes up again. */
+  /** Id of the last event that the client received of a stream that it resumes. */
   lastEventId: string | undefined;
   contentLength: number | undefined;
-  /** What a server gets of the headers: all but those that the system sets itself. */
+  /** The headers that are forwarded to the server: all but those that the box sets itself. */
   passedOn: RawHeaders;
 }>;
 
-/** Where the memory of a run lies that goes on at another server. */
+/** Where another server fetches the memory (KV cache) of a run that it continues. */
 export type RunMemory = Readonly<{
-  /** The server that made the memory. */
+  /** The server that built the memory. */
   source: ServerAddress;
-  /** Names the copy there. */
+  /** Identifies the copy of the memory. */
   handle: string;
 }>;
 
-/** What the system says to a server beside the client's own headers. */
+/** What the box adds to the client's headers when it sends a request to a server. */
 export type DispatchTerms = Readonly<{
   server: ServerName;
   timeLeft: Ms;
   workspace: WorkspaceName | undefined;
   bodyLength: number | undefined;
-  /** Rank at an engine, 0 first. */
+  /** Priority at an engine, 0 is the highest; undefined for requests that are no generation. */
   enginePriority: number | undefined;
-  /** Set when a stream goes on: its last whole event, and the memory to go on from. */
+  /**
+   * Set when a started stream continues at this server: the id of the last complete event that the
+   * client has, and the memory to continue from (undefined for a new run).
+   */
   continuation:
     | Readonly<{ lastEventId: string | undefined; memory: RunMemory | undefined }>
     | undefined;
 }>;
 
-/** A server's answer head, decoded once at the edge. */
+/** Decoded head of a server's answer. */
 export type AnswerHead = Readonly<{
   status: number;
-  /** The request that it answers, as the server echoes it. */
+  /** Id of the answered request, as echoed by the server; undefined if it echoes none. */
   requestId: ClientRequestId | undefined;
-  /** Carries the server's signature. */
+  /** Whether the head carries a response signature. */
   isSigned: boolean;
-  /** The server says that it did not run the request and never will. */
+  /** The server states that it did not run the request and never will. */
   isNotRun: boolean;
-  /** Another server has the address now. */
+  /** The address belongs to another server now, which rejects requests for the previous one. */
   isOtherServer: boolean;
-  /** The server that says that it answers, where it says so, and its start, the same. */
+  /** Name of the answering server; undefined if the head does not state it. */
   server: ServerName | undefined;
+  /** When the answering server's process started; undefined if the head does not state it. */
   startedAt: Ms | undefined;
-  /** What the server says of itself. */
+  /** Signals about the server itself: limit, backoff, warm-up, leaving. */
   signs: ServerSignals;
-  /** The body is encoded, so it is not the server's body. */
+  /** The body has a content encoding. Servers send none, so something else changed the body. */
   isEncoded: boolean;
-  /** Length of the body, when the head gives it. */
+  /** Length of the body in bytes, if the head states it. */
   contentLength: number | undefined;
-  /** Neither a length nor chunks: the body ends with the connection. */
+  /** The answer has neither a length nor chunks: its body ends when the connection closes. */
   isUnframed: boolean;
   isEventStream: boolean;
-  /** What a client gets of the headers; not the time for which the server wants rest, which is said to this box. */
+  /** The headers that are forwarded to the client; a requested backoff is left out, as it concerns only this box. */
   passedOn: RawHeaders;
 }>;
 
-/** A final answer of the system's own. */
+/** A final answer that the box generates itself. */
 export type OwnAnswer = Readonly<{
   status: number;
-  /** When to come back; given only where the request has not run. */
+  /** Delay before the client should retry; set only if the request has not run. */
   retryAfter: Ms | undefined;
 }>;
 
-/** Translates heads between the wire and the types above; it decides nothing. */
+/** Translates heads between the wire format and the types above; it makes no decisions. */
 export type HeadCodec = Readonly<{
   decodeRequest: (
     request: Readonly<{ method: string; target: string; headers: RawHeaders }>,
   ) => RequestHead;
   encodeDispatch: (head: RequestHead, terms: DispatchTerms) => string[];
-  /** Headers of a call that asks a server whether it is well; any other server there says so. */
+  /** Encodes the headers of a health check; a different server at the address rejects it. */
   encodeHealthCall: (
     server: Readonly<{ name: ServerName; address: ServerAddress }>,
   ) => string[];
-  /** The server's start, where the body of its health answer tells it. */
+  /** Reads from the body of a health answer when the server started; undefined if it does not state it. */
   decodeHealthBody: (body: Buffer) => Ms | undefined;
   decodeAnswer: (status: number, headers: RawHeaders) => AnswerHead;
-  /** Headers that tell a client when to come back. */
+  /** Encodes the headers that tell a client when to retry. */
   encodeRetryAfter: (pause: Ms) => RawHeaders;
   encodeOwnAnswer: (head: RequestHead, answer: OwnAnswer) => string[];
 }>;
 
-/** Why an exchange with a server brought no whole answer. */
+/** Why an exchange with a server returned no complete answer. */
 export type ExchangeFailure = Readonly<
-  /** No connection came up: nothing was sent. */
+  /** No connection was established: nothing was sent. */
   | { kind: "unreachable"; detail: string }
-  /** The connection broke after the request may have reached the server. */
+  /** The connection broke; the server may have received the request. */
   | { kind: "broken"; detail: string }
-  /** Bytes came that are no answer. */
+  /** The server sent bytes that are no valid answer. */
   | { kind: "malformed"; detail: string }
 >;
--- a/packages/forwarding/src/waitQueue.test.ts
+++ b/packages/forwarding/src/waitQueue.test.ts
@@ -9,15 +9,15 @@
 
 const WRITERS = "writers" as ServiceName;
 
-describe("createWaitingRoom", () => {
+describe("createWaitQueue", () => {
   let clock: VirtualClock;
-  let room: WaitQueue;
+  let queue: WaitQueue;
   let free: number;
   let placed: string[];
 
   beforeEach(() => {
     clock = createVirtualClock();
-    room = createWaitQueue(clock);
+    queue = createWaitQueue(clock);
     free = 0;
     placed = [];
   });
@@ -27,7 +27,7 @@
     tier = 1,
     changes: { service?: string; wait?: number } = {},
   ) =>
-    room.add({
+    queue.add({
       service: (changes.service ?? WRITERS) as ServiceName,
       tier,
       until: (clock.monotonic() + (changes.wait ?? 1_000)) as Ms,
@@ -41,7 +41,7 @@
     });
   const advance = (duration: number) => clock.advance(duration as Ms);
 
-  it("places by rank, and by arrival within a rank, as room comes", () => {
+  it("places by tier, then by arrival, as capacity becomes free", () => {
     add("first");
     add("second");
     add("urgent", 0);
@@ -53,10 +53,10 @@
     free = 1;
     advance(30);
     expect(placed).toEqual(["urgent", "first", "second"]);
-    expect(room.count()).toBe(0);
+    expect(queue.count()).toBe(0);
   });
 
-  it("places each when its time is up, whether there is room or not", () => {
+  it("places each request when its time is up, even without capacity", () => {
     add("first", 1, { wait: 200 });
     add("second", 1, { wait: 400 });
     advance(240);
@@ -65,14 +65,14 @@
     expect(placed).toEqual(["first anyway", "second anyway"]);
   });
 
-  it("tells a newcomer whom it would pass", () => {
+  it("reports whether a waiting request goes before a new one", () => {
     add("first", 1);
-    expect(room.hasAhead(WRITERS, 1)).toBe(true);
-    expect(room.hasAhead(WRITERS, 0)).toBe(false);
-    expect(room.hasAhead("others" as ServiceName, 5)).toBe(false);
+    expect(queue.hasAhead(WRITERS, 1)).toBe(true);
+    expect(queue.hasAhead(WRITERS, 0)).toBe(false);
+    expect(queue.hasAhead("others" as ServiceName, 5)).toBe(false);
   });
 
-  it("lets one go that has left, and sets no timer for nobody", () => {
+  it("does not place a removed request, and sets no timer while empty", () => {
     const leave = add("first");
     leave();
     free = 1;
@@ -81,10 +81,10 @@
     expect(clock.getNextAt()).toBeUndefined();
   });
 
-  it("keeps the services apart", () => {
+  it("places requests of one service while another service has no capacity", () => {
     const others = "others" as ServiceName;
     let hasRoom = false;
-    room.add({
+    queue.add({
       service: others,
       tier: 0,
       until: 1_000 as Ms,
@@ -97,6 +97,6 @@
     expect(placed).toEqual(["mine"]);
     hasRoom = true;
     advance(30);
-    expect(room.count()).toBe(0);
+    expect(queue.count()).toBe(0);
   });
 });
--- a/packages/forwarding/src/waitQueue.ts
+++ b/packages/forwarding/src/waitQueue.ts
@@ -1,77 +1,78 @@
 /**
- * Where generations wait at the box while every engine is full: in an engine's own queue they would take the place of
- * runs that have to move, make runs give way, and could not go to an engine that comes meanwhile.
+ * Queue of generations that wait at the box while every engine is full. In an engine's own queue they
+ * would take slots needed by runs that have to move, preempt runs, and miss engines that start
+ * meanwhile.
  */
 import type { Clock, Ms, ServiceName, Timer } from "@stairgauge/common";
 
-/** A request that waits. */
+/** A waiting request. */
 export type Waiting = Readonly<{
   service: ServiceName;
-  /** Rank, 0 first. */
+  /** Priority, 0 is the highest. */
   tier: number;
-  /** Time at which it is placed wherever there is least to wait. */
+  /** Time at which the request is placed even if every engine is full. */
   until: Ms;
-  /** Places it if there is room; false when it has to go on waiting. */
+  /** Places the request if there is capacity; false if it has to keep waiting. */
   attempt: () => boolean;
-  /** Places it although there is none. */
+  /** Places the request although every engine is full. */
   placeAnyway: () => void;
 }>;
 
-/** The requests that wait at one box. */
+/** The queue of one box. */
 export type WaitQueue = Readonly<{
-  /** Takes a request in; the function returned takes it out again. */
+  /** Adds a request; the returned function removes it. */
   add: (waiting: Waiting) => () => void;
-  /** Whether a newcomer would pass one that waits. */
+  /** Whether a waiting request of the service goes before a new one of the tier. */
   hasAhead: (service: ServiceName, tier: number) => boolean;
   count: () => number;
 }>;
 
-/** Runs end and engines come and go all the time; a look costs a few choices of an engine. */
-const LOOK_INTERVAL_MS = 30 as Ms;
+/** How often the queue is checked. Capacity changes all the time, and a check costs only a few placement decisions. */
+const POLL_INTERVAL_MS = 30 as Ms;
 
-/** Creates an empty room. */
+/** Creates an empty queue. */
 export const createWaitQueue = (clock: Clock): WaitQueue => {
-  /** In the order of arrival. */
+  /** Waiting requests in order of arrival. */
   const waiting = new Set<Waiting>();
   let timer: Timer | undefined;
 
   const listInOrder = () => [...waiting].sort((a, b) => a.tier - b.tier);
 
-  /** The first of a service that finds no room keeps all behind it waiting, so that none is passed for ever. */
-  const placeWhoFits = () => {
+  /** A request without capacity blocks all later ones of its service, so that none is overtaken forever. */
+  const placeFitting = () => {
     const full = new Set<ServiceName>();
-    for (const one of listInOrder()) {
-      if (full.has(one.service)) continue;
-      if (one.attempt()) waiting.delete(one);
-      else full.add(one.service);
+    for (const request of listInOrder()) {
+      if (full.has(request.service)) continue;
+      if (request.attempt()) waiting.delete(request);
+      else full.add(request.service);
     }
   };
-  const placeWhoIsDue = () => {
+  const placeDue = () => {
     const now = clock.monotonic();
-    for (const one of listInOrder()) {
-      if (now < one.until) continue;
-      waiting.delete(one);
-      one.placeAnyway();
+    for (const request of listInOrder()) {
+      if (now < request.until) continue;
+      waiting.delete(request);
+      request.placeAnyway();
     }
   };
-  const look = () => {
+  const poll = () => {
     timer = undefined;
-    placeWhoFits();
-    placeWhoIsDue();
+    placeFitting();
+    placeDue();
     schedule();
   };
   const schedule = () => {
-    if (waiting.size > 0) timer ??= clock.setTimer(LOOK_INTERVAL_MS, look);
+    if (waiting.size > 0) timer ??= clock.setTimer(POLL_INTERVAL_MS, poll);
   };
 
   return {
-    add: (one) => {
-      waiting.add(one);
+    add: (request) => {
+      waiting.add(request);
       schedule();
-      return () => void waiting.delete(one);
+      return () => void waiting.delete(request);
     },
     hasAhead: (service, tier) =>
-      [...waiting].some((one) => one.service === service && one.tier <= tier),
+      [...waiting].some((request) => request.service === service && request.tier <= tier),
     count: () => waiting.size,
   };
 };
--- a/packages/forwarding/src/watchSilence.ts
+++ b/packages/forwarding/src/watchSilence.ts
@@ -1,37 +1,44 @@
 /**
- * A server that was sent a request and says nothing: it may be dead behind a link that never closes, and nothing but
- * time tells. Only requests that may run again are given up on, and only where another server is there.
+ * Detects a server that does not answer a request. A dead host may never close its connections, so a
+ * timeout is the only evidence. Only attempts of repeatable requests are given up for this reason, and
+ * only if another server is available.
  */
 import type { Clock, Ms, Timer } from "@stairgauge/common";
 
-/** How long a plain server may take, as a multiple of the route's aim; its slowest requests take five times the mean. */
-const PLAIN_PATIENCE = 2.5;
+/**
+ * Timeout of a plain request, as a multiple of the route's target for the first answer. The slowest
+ * requests take five times the mean.
+ */
+const PLAIN_TIMEOUT_FACTOR = 2.5;
 
-/** The same for a generation, whose engine is then asked whether it lives: a full one is silent for long. */
-const GENERATION_PATIENCE = 1;
+/**
+ * The same for a generation. Its engine is then checked for being alive, as a full engine may not
+ * answer for a long time.
+ */
+const GENERATION_TIMEOUT_FACTOR = 1;
 
-/** What watching needs. */
+/** Options of the watch. */
 export type SilenceWatch = Readonly<{
   clock: Clock;
-  /** The route's aim for the first answer. */
+  /** The route's target time for the first answer. */
   aim: Ms;
   isGeneration: boolean;
-  /** Whether the server answers anything at all. */
+  /** Resolves with whether the server answers at all. */
   isAlive: () => Promise<boolean>;
-  /** The server has been silent for too long. */
+  /** The server did not answer within the timeout. */
   onSilent: () => void;
 }>;
 
-/** Starts to watch; whoever hears the server cancels it. */
+/** Starts the watch; the caller cancels it when the server answers. */
 export const watchSilence = (watch: SilenceWatch): Timer => {
   const { clock, aim, isGeneration, isAlive, onSilent } = watch;
   let isOver = false;
-  const judge = async () => {
+  const checkSilence = async () => {
     if (isGeneration && (await isAlive())) return;
     if (!isOver) onSilent();
   };
-  const patience = aim * (isGeneration ? GENERATION_PATIENCE : PLAIN_PATIENCE);
-  const timer = clock.setTimer(patience as Ms, () => void judge());
+  const timeout = aim * (isGeneration ? GENERATION_TIMEOUT_FACTOR : PLAIN_TIMEOUT_FACTOR);
+  const timer = clock.setTimer(timeout as Ms, () => void checkSilence());
   return {
     cancel: () => {
       isOver = true;
