--- a/packages/routing/src/configurationHolder.ts
+++ b/packages/routing/src/configurationHolder.ts
@@ -1,42 +1,44 @@
-/** Which configuration is in force at this box, and how old what it knows of it is. */
+/** Holds the configuration in force at this box, and how recently it was confirmed. */
 import type { Ms } from "@stairgauge/common";
 import { indexConfiguration, type ConfigurationIndex } from "./indexConfiguration.js";
 import type { ConfigurationVersion, FleetConfiguration } from "./types.js";
 
-/** What became of a configuration that was read. */
+/** Result of adopting a configuration; `known` means that its version is already in force. */
 export type AdoptOutcome = Readonly<
   | { kind: "adopted"; version: ConfigurationVersion }
   | { kind: "known"; version: ConfigurationVersion }
-  /** Older than the one in force: a stale read. It confirms nothing. */
+  /** Older than the one in force. This was a stale read and does not confirm the current version. */
   | { kind: "older"; version: ConfigurationVersion; inForce: ConfigurationVersion }
 >;
 
-/** How much a box may decide on what it knows. */
+/** How far a box may rely on its configuration. */
 export type ConfigurationFreshness =
-  /** Nothing was read yet. */
+  /** No configuration has been read. */
   | "unknown"
-  /** Known, and confirmed lately enough to accept keys and to deny unknown ones. */
+  /** Confirmed recently enough to accept keys and to deny unknown keys and routes. */
   | "current"
-  /** Confirmed lately enough to accept keys, too long ago to say that a key or route is not there. */
+  /** Confirmed recently enough to accept keys, but not to deny: an unknown key or route may be new. */
   | "ageing"
-  /** Confirmed too long ago to accept keys: one of them may have been taken away since. */
+  /** Confirmed too long ago to accept keys: a key may have been removed since. */
   | "expired";
 
-/** Ages at which the standing changes. */
+/** Largest age of the last confirmation at which unknown keys are denied, and at which keys are accepted. */
 export type FreshnessLimits = Readonly<{ denyWithin: Ms; acceptWithin: Ms }>;
 
 /** Holds the configuration in force. */
 export type ConfigurationHolder = Readonly<{
-  /** Takes a configuration that was in force at `asOf`; versions never go back. */
+  /** Adopts a configuration that was in force at `asOf`, unless its version is lower than the current one. */
   adopt: (configuration: FleetConfiguration, asOf: Ms) => AdoptOutcome;
-  /** Notes that the store had nothing newer at `asOf`. */
+  /** Records that the store had no newer version at `asOf`. */
   confirm: (asOf: Ms) => void;
+  /** Undefined until a configuration is adopted. */
   getIndex: () => ConfigurationIndex | undefined;
+  /** Time since the last confirmation; infinite if there was none. */
   getAge: (now: Ms) => Ms;
   getFreshness: (now: Ms) => ConfigurationFreshness;
 }>;
 
-/** Creates a keeper that knows nothing yet. */
+/** Creates a holder without a configuration. */
 export const createConfigurationHolder = (
   limits: FreshnessLimits,
 ): ConfigurationHolder => {
--- a/packages/routing/src/decideAccess.ts
+++ b/packages/routing/src/decideAccess.ts
@@ -1,30 +1,30 @@
-/** Whether a request is let in: its route, its workspace, or why not. Pure. */
+/** Access control: finds the route and the workspace of a request, or refuses it. Pure. */
 import type { Ms } from "@stairgauge/common";
 import type { ConfigurationIndex } from "./indexConfiguration.js";
 import type { ConfigurationFreshness } from "./configurationHolder.js";
 import type { Route, WorkspaceSpec } from "./types.js";
 
-/** What a request asks for. */
+/** The fields of a request that decide on access; `key` is undefined if it carries none. */
 export type AccessRequest = Readonly<{
   host: string;
   path: string;
   key: string | undefined;
 }>;
 
-/** Why a request is not let in. */
+/** Why a request is refused. */
 export type AccessRefusal =
-  /** The box knows no configuration yet. */
+  /** The box has not read any configuration. */
   | "no_configuration"
-  /** What the box knows is too old to say that a route or key is not there, or that a key is still good. */
+  /** The configuration was confirmed too long ago to deny an unknown route or key, or to accept a key. */
   | "knowledge_too_old"
   | "no_such_route"
   | "key_missing"
   | "key_unknown";
 
-/** The decision. */
+/** The decision; `workspace` is undefined if the request needs no key. */
 export type AccessDecision = Readonly<
   | { kind: "admitted"; route: Route; workspace: WorkspaceSpec | undefined }
-  /** The route is given where one was found. */
+  /** `route` is set if one was found. */
   | { kind: "refused"; reason: AccessRefusal; route?: Route }
 >;
 
@@ -34,31 +34,32 @@
   ...(route && { route }),
 });
 
-/** Denials need fresh knowledge: a route or key that is unknown here may be a new one. */
+/** Denying requires a recently confirmed configuration: an unknown route or key may be new. */
 const deny = (
-  standing: ConfigurationFreshness,
+  freshness: ConfigurationFreshness,
   reason: AccessRefusal,
   route?: Route,
-): AccessDecision => refuse(standing === "current" ? reason : "knowledge_too_old", route);
+): AccessDecision =>
+  refuse(freshness === "current" ? reason : "knowledge_too_old", route);
 
-/** Decides by the configuration in force and by how lately it was confirmed. */
+/** Decides by the configuration in force and by how recently it was confirmed. */
 export const decideAccess = (
   index: ConfigurationIndex | undefined,
-  standing: ConfigurationFreshness,
+  freshness: ConfigurationFreshness,
   request: AccessRequest,
 ): AccessDecision => {
-  if (!index || standing === "unknown") return refuse("no_configuration");
+  if (!index || freshness === "unknown") return refuse("no_configuration");
   const route = index.findRoute(request.host, request.path);
-  if (!route) return deny(standing, "no_such_route");
+  if (!route) return deny(freshness, "no_such_route");
   if (!index.hasKeys || route.isKeyless)
     return { kind: "admitted", route, workspace: undefined };
   if (request.key === undefined) return refuse("key_missing", route);
-  if (standing === "expired") return refuse("knowledge_too_old", route);
+  if (freshness === "expired") return refuse("knowledge_too_old", route);
   const workspace = index.findWorkspace(request.key);
-  if (!workspace) return deny(standing, "key_unknown", route);
+  if (!workspace) return deny(freshness, "key_unknown", route);
   return { kind: "admitted", route, workspace };
 };
 
-/** The longest that a request may be held: its route's limit, or the client's own patience. */
+/** Time limit of a request: the shorter one of its route's limit and the time that its client waits. */
 export const computeTimeLimit = (route: Route, patience: Ms | undefined): Ms =>
   Math.min(route.answerLimit, patience ?? route.answerLimit) as Ms;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,13 +1,13 @@
-/** The operators' configuration: routes, services, workspaces and keys, and how far it is to be trusted. */
+/** The operators' configuration: routes, services, workspaces and keys, and how fresh it is. */
 export type * from "./types.js";
 export { indexConfiguration } from "./indexConfiguration.js";
 export type { ConfigurationIndex } from "./indexConfiguration.js";
-export { createConfigurationHolder as createConfigurationKeeper } from "./configurationHolder.js";
+export { createConfigurationHolder } from "./configurationHolder.js";
 export type {
   AdoptOutcome,
-  ConfigurationHolder as ConfigurationKeeper,
-  ConfigurationFreshness as Standing,
-  FreshnessLimits as StandingLimits,
+  ConfigurationHolder,
+  ConfigurationFreshness,
+  FreshnessLimits,
 } from "./configurationHolder.js";
 export { computeTimeLimit, decideAccess } from "./decideAccess.js";
 export type { AccessDecision, AccessRefusal, AccessRequest } from "./decideAccess.js";
--- a/packages/routing/src/indexConfiguration.ts
+++ b/packages/routing/src/indexConfiguration.ts
@@ -1,11 +1,11 @@
-/** Look-ups over one configuration: routes by host and longest path prefix, workspaces by key. */
+/** Lookups in a configuration: routes by host and longest path prefix, workspaces by key, services by name. */
 import type { ServiceName } from "@stairgauge/common";
 import type { FleetConfiguration, Route, ServiceSpec, WorkspaceSpec } from "./types.js";
 
-/** A configuration that can be asked. */
+/** A configuration with lookups; each returns undefined if there is no match. */
 export type ConfigurationIndex = Readonly<{
   configuration: FleetConfiguration;
-  /** Whether requests need a key at all. */
+  /** Whether the configuration has keys; if not, requests need none. */
   hasKeys: boolean;
   findRoute: (host: string, path: string) => Route | undefined;
   findWorkspace: (key: string) => WorkspaceSpec | undefined;
@@ -16,7 +16,7 @@
 
 const toHostKey = (host: string): string => host.replace(PORT_SUFFIX, "").toLowerCase();
 
-/** Ends just behind each slash of the path, longest first; a query is no part of it. */
+/** Lists the prefixes of a path that end with a slash, longest first; the query is ignored. */
 const listPrefixes = (path: string): readonly string[] => {
   const end = path.indexOf("?");
   const plain = end < 0 ? path : path.slice(0, end);
@@ -28,7 +28,7 @@
   return prefixes;
 };
 
-/** Builds the look-ups; each then costs one map access a path segment. */
+/** Builds the lookups; finding a route costs one map access per path segment. */
 export const indexConfiguration = (
   configuration: FleetConfiguration,
 ): ConfigurationIndex => {
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -2,7 +2,7 @@
 import type { Ms, ServiceName, WorkspaceName } from "@stairgauge/common";
 import {
   computeTimeLimit,
-  createConfigurationKeeper,
+  createConfigurationHolder,
   decideAccess,
   indexConfiguration,
   type ConfigurationVersion,
@@ -49,8 +49,8 @@
 });
 
 const toMs = (time: number) => time as Ms;
-const makeKeeper = () =>
-  createConfigurationKeeper({ denyWithin: toMs(2_000), acceptWithin: toMs(4_700) });
+const makeHolder = () =>
+  createConfigurationHolder({ denyWithin: toMs(2_000), acceptWithin: toMs(4_700) });
 
 describe("indexConfiguration", () => {
   const index = indexConfiguration(makeConfiguration(1));
@@ -60,7 +60,7 @@
     ["/a/b/x?q=/a/", "/a/b/"],
     ["/a/b", "/a/"],
     ["/a/b/", "/a/b/"],
-  ])("routes %s by the longest prefix", (path, prefix) => {
+  ])("finds the route of %s by the longest prefix", (path, prefix) => {
     expect(index.findRoute("A.example:80", path)?.pathPrefix).toBe(prefix);
   });
 
@@ -74,40 +74,40 @@
   });
 });
 
-describe("createConfigurationKeeper", () => {
-  it("never goes back to an older version, and an older one confirms nothing", () => {
-    const keeper = makeKeeper();
-    expect(keeper.adopt(makeConfiguration(7), toMs(100)).kind).toBe("adopted");
-    expect(keeper.adopt(makeConfiguration(6), toMs(900))).toEqual({
+describe("createConfigurationHolder", () => {
+  it("rejects an older version, which confirms nothing", () => {
+    const holder = makeHolder();
+    expect(holder.adopt(makeConfiguration(7), toMs(100)).kind).toBe("adopted");
+    expect(holder.adopt(makeConfiguration(6), toMs(900))).toEqual({
       kind: "older",
       version: 6,
       inForce: 7,
     });
-    expect(keeper.getIndex()?.configuration.version).toBe(7);
-    expect(keeper.getAge(toMs(1_000))).toBe(900);
-    expect(keeper.adopt(makeConfiguration(7), toMs(950)).kind).toBe("known");
-    expect(keeper.getAge(toMs(1_000))).toBe(50);
+    expect(holder.getIndex()?.configuration.version).toBe(7);
+    expect(holder.getAge(toMs(1_000))).toBe(900);
+    expect(holder.adopt(makeConfiguration(7), toMs(950)).kind).toBe("known");
+    expect(holder.getAge(toMs(1_000))).toBe(50);
   });
 
-  it("ages from what was last confirmed, and never gets younger by an older answer", () => {
-    const keeper = makeKeeper();
-    expect(keeper.getFreshness(toMs(0))).toBe("unknown");
-    keeper.adopt(makeConfiguration(1), toMs(0));
-    keeper.confirm(toMs(-500));
-    expect(keeper.getFreshness(toMs(2_000))).toBe("current");
-    expect(keeper.getFreshness(toMs(2_001))).toBe("ageing");
-    expect(keeper.getFreshness(toMs(4_701))).toBe("expired");
-    keeper.confirm(toMs(4_000));
-    expect(keeper.getFreshness(toMs(4_701))).toBe("current");
+  it("counts its age from the latest confirmation, even if an older one arrives afterwards", () => {
+    const holder = makeHolder();
+    expect(holder.getFreshness(toMs(0))).toBe("unknown");
+    holder.adopt(makeConfiguration(1), toMs(0));
+    holder.confirm(toMs(-500));
+    expect(holder.getFreshness(toMs(2_000))).toBe("current");
+    expect(holder.getFreshness(toMs(2_001))).toBe("ageing");
+    expect(holder.getFreshness(toMs(4_701))).toBe("expired");
+    holder.confirm(toMs(4_000));
+    expect(holder.getFreshness(toMs(4_701))).toBe("current");
   });
 });
 
 describe("decideAccess", () => {
   const index = indexConfiguration(makeConfiguration(1));
-  const ask = (path: string, key?: string) => ({ host: "a.example", path, key });
+  const makeRequest = (path: string, key?: string) => ({ host: "a.example", path, key });
 
-  it("answers that it knows nothing, never that something is not there", () => {
-    expect(decideAccess(undefined, "unknown", ask("/a/", "k1"))).toEqual({
+  it("refuses with no_configuration if none has been read", () => {
+    expect(decideAccess(undefined, "unknown", makeRequest("/a/", "k1"))).toEqual({
       kind: "refused",
       reason: "no_configuration",
     });
@@ -123,19 +123,22 @@
     ["/a/", "new", "ageing", "knowledge_too_old"],
     ["/new/", "k1", "current", "no_such_route"],
     ["/new/", "k1", "ageing", "knowledge_too_old"],
-  ] as const)("%s with key %s while %s: %s", (path, key, standing, expected) => {
-    const decision = decideAccess(index, standing, ask(path, key));
-    expect(decision.kind === "admitted" ? "admitted" : decision.reason).toBe(expected);
-  });
+  ] as const)(
+    "decides on %s with key %s while %s: %s",
+    (path, key, freshness, expected) => {
+      const decision = decideAccess(index, freshness, makeRequest(path, key));
+      expect(decision.kind === "admitted" ? "admitted" : decision.reason).toBe(expected);
+    },
+  );
 
-  it("gives the workspace that holds the key", () => {
-    const decision = decideAccess(index, "current", ask("/a/", "k2"));
+  it("returns the workspace that has the key", () => {
+    const decision = decideAccess(index, "current", makeRequest("/a/", "k2"));
     expect(decision).toMatchObject({ kind: "admitted", workspace: { name: "w" } });
   });
 });
 
 describe("computeTimeLimit", () => {
-  it("holds a request no longer than its route or its client allows", () => {
+  it("returns the shorter one of the route's limit and the client's", () => {
     expect(computeTimeLimit(makeRoute("/a/"), toMs(200))).toBe(200);
     expect(computeTimeLimit(makeRoute("/a/"), toMs(9_000))).toBe(600);
     expect(computeTimeLimit(makeRoute("/a/"), undefined)).toBe(600);
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -1,4 +1,4 @@
-/** What the operators' configuration says, in the product's own words. */
+/** Types of the operators' configuration, independent of its format at the platform. */
 import type {
   Brand,
   Ms,
@@ -7,51 +7,51 @@
   WorkspaceName,
 } from "@stairgauge/common";
 
-/** Name of a route, as the configuration gives it. */
+/** Name of a route in the configuration. */
 export type RouteName = Brand<string, "RouteName">;
 
-/** Version of a configuration; versions rise in uneven steps. */
+/** Version of a configuration; versions rise, but may skip numbers. */
 export type ConfigurationVersion = Brand<number, "ConfigurationVersion">;
 
-/** How often one request of a route may run, and how its answer comes. */
+/** How often a request of a route may run, and how it is answered. */
 export type RouteKind =
   /** May run more than once. */
   | "repeatable"
-  /** Runs once at most. */
+  /** Runs at most once. */
   | "once"
-  /** Answers with a stream of events; runs once at most unless it may be resumed. */
+  /** Is answered with an event stream; runs at most once unless the route is resumable. */
   | "stream";
 
-/** A service that takes part of a route's requests. */
+/** A service that receives a share of a route's requests, in proportion to its weight. */
 export type ServiceShare = Readonly<{ service: ServiceName; weight: number }>;
 
-/** One route. */
+/** A route: the requests to a host below a path prefix. */
 export type Route = Readonly<{
   name: RouteName;
   host: string;
   /** Begins and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** Another server may go on with a stream of this route. */
+  /** Whether a new run at another server may continue an interrupted stream. */
   isResumable: boolean;
-  /** Needs no key. */
+  /** Whether requests need no key. */
   isKeyless: boolean;
-  /** The longest a request may be held. */
+  /** Time limit of a request until its final answer. */
   answerLimit: Ms;
-  /** First answer (of a stream: first event) that earns full credit. */
+  /** Target time to the answer, or to the first event of a stream. */
   firstAnswerAim: Ms;
-  /** Longest pause between events that keeps a stream in time; absent on plain routes. */
+  /** Target for the longest pause between events of a stream; undefined on routes without streams. */
   pauseAim: Ms | undefined;
-  /** The largest number of servers that one request may be sent to. */
+  /** Largest number of servers that one request may be sent to. */
   maxServers: number;
-  /** Rank of the route, 0 first. */
+  /** Priority of the route, 0 is the highest. */
   tier: number;
-  /** Regions whose servers alone may get its requests; all where absent. */
+  /** Regions whose servers may get its requests; all if undefined. */
   regions?: readonly RegionName[] | undefined;
   shares: readonly ServiceShare[];
 }>;
 
-/** What the engines of a service can do. */
+/** Capacity and abilities of each engine of a service. */
 export type EngineTraits = Readonly<{
   slots: number;
   memoryTokens: number;
@@ -59,42 +59,42 @@
   linkMbps: number;
   canMove: boolean;
   canBackUp: boolean;
-  /** How long a copied memory is kept for its run. */
+  /** How long an engine keeps a copy of a run's memory. */
   copyLife: Ms;
 }>;
 
-/** How the servers of a service warm up after a start. */
+/** Warm-up of a service's servers after their start. */
 export type WarmUp = Readonly<{
   /** How long a server stays cold. */
   duration: Ms;
-  /** Requests a second that it bears meanwhile, from all callers together. */
+  /** Requests per second that a cold server can handle, from all callers together. */
   perSecond: number;
 }>;
 
-/** One service. */
+/** A service. */
 export type ServiceSpec = Readonly<{
   name: ServiceName;
-  /** Connections that one server takes from all callers together. */
+  /** Connections that one server accepts from all callers together. */
   maxConnections: number;
-  /** Where a server says whether it is well, and which one it is. */
+  /** Path of the health check, whose answer also identifies the server; undefined if there is none. */
   healthPath: string | undefined;
-  /** Absent where servers bear all that they can from their start on. */
+  /** Undefined if servers need no warm-up. */
   warmUp: WarmUp | undefined;
-  /** Present when its servers are model engines. */
+  /** Set if the service's servers are model engines. */
   engine: EngineTraits | undefined;
 }>;
 
-/** A workspace and the keys that belong to it. */
+/** A workspace and its keys. */
 export type WorkspaceSpec = Readonly<{
   name: WorkspaceName;
   keys: readonly string[];
-  /** Goes before the route's rank when given. */
+  /** Overrides the route's priority if set. */
   tier: number | undefined;
-  /** Regions whose servers alone may get its requests, of those that the route allows; all where absent. */
+  /** Regions whose servers may get its requests, among those that the route allows; all if undefined. */
   regions?: readonly RegionName[] | undefined;
 }>;
 
-/** Bounds on what a client may send and how long it may take. */
+/** Limits on the size of a client's requests, and on how long a client may take to send a head or be idle. */
 export type ClientLimits = Readonly<{
   headerBytes: number;
   bodyBytes: number;
@@ -102,12 +102,12 @@
   idleTime: Ms;
 }>;
 
-/** One whole configuration. */
+/** A complete configuration. */
 export type FleetConfiguration = Readonly<{
   version: ConfigurationVersion;
   routes: readonly Route[];
   services: readonly ServiceSpec[];
   limits: ClientLimits;
-  /** Absent when requests carry no keys. */
+  /** Undefined if requests need no keys. */
   workspaces: readonly WorkspaceSpec[] | undefined;
 }>;
