--- a/packages/signals/src/constants.ts
+++ b/packages/signals/src/constants.ts
@@ -1,4 +1,4 @@
-/** The signs of an answer that says nothing of its server. */
+/** The signals of an answer that carries none. */
 import type { ServerSignals } from "./types.js";
 
 export const NO_SIGNALS: ServerSignals = {
--- a/packages/signals/src/dispatchSignals.test.ts
+++ b/packages/signals/src/dispatchSignals.test.ts
@@ -1,31 +1,36 @@
 import { describe, expect, it } from "vitest";
 import type { Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
-import { NO_SIGNS, takeSigns, type ServerSignals, type SignalHandlers } from "./index.js";
+import {
+  NO_SIGNALS,
+  dispatchSignals,
+  type ServerSignals,
+  type SignalHandlers,
+} from "./index.js";
 
 const SERVER = {} as BackendServer;
 const SOURCE = { kind: "health" } as const;
 
-describe("takeSigns", () => {
-  it("calls the taker of each sign once, with what the answer says", () => {
-    const taken: unknown[] = [];
-    const take =
+describe("dispatchSignals", () => {
+  it("calls the handler of each signal once, with the signal of the answer", () => {
+    const received: unknown[] = [];
+    const makeHandler =
       (name: keyof ServerSignals) =>
-      (heard: object): void =>
-        void taken.push([name, heard]);
-    const takers: SignalHandlers = {
-      isClosing: take("isClosing"),
-      warmUpLeft: take("warmUpLeft"),
-      limit: take("limit"),
-      leaving: take("leaving"),
-      rest: take("rest"),
+      (signal: object): void =>
+        void received.push([name, signal]);
+    const handlers: SignalHandlers = {
+      isClosing: makeHandler("isClosing"),
+      warmUpLeft: makeHandler("warmUpLeft"),
+      limit: makeHandler("limit"),
+      leaving: makeHandler("leaving"),
+      rest: makeHandler("rest"),
     };
-    const signals = { ...NO_SIGNS, warmUpLeft: 30 as Ms };
-    takeSigns(takers, { server: SERVER, signals, source: SOURCE });
-    expect(taken).toEqual(
-      Object.entries(signals).map(([name, sign]) => [
+    const signals = { ...NO_SIGNALS, warmUpLeft: 30 as Ms };
+    dispatchSignals(handlers, { server: SERVER, signals, source: SOURCE });
+    expect(received).toEqual(
+      Object.entries(signals).map(([name, signal]) => [
         name,
-        { server: SERVER, sign, source: SOURCE },
+        { server: SERVER, signal, source: SOURCE },
       ]),
     );
   });
--- a/packages/signals/src/dispatchSignals.ts
+++ b/packages/signals/src/dispatchSignals.ts
@@ -1,17 +1,17 @@
-/** Hands the signs of an answer to their takers. */
+/** Passes the signals of an answer to their handlers. */
 import type { ReceivedSignal, ServerSignals, SignalHandlers } from "./types.js";
 
-/** The signs of one answer, whose server it is that gave them, and where. */
+/** All signals of one answer, with its server and the call that it answers. */
 export type ReceivedSignals = Omit<ReceivedSignal<ServerSignals>, "signal"> &
   Readonly<{ signals: ServerSignals }>;
 
-/** Calls the taker of each sign. */
+/** Calls the handler of each signal. */
 export const dispatchSignals = (
-  takers: SignalHandlers,
+  handlers: SignalHandlers,
   { server, signals, source }: ReceivedSignals,
 ): void => {
-  const takeSign = <Name extends keyof ServerSignals>(name: Name) =>
-    takers[name]({ server, signal: signals[name], source });
-  const names = Object.keys(takers) as (keyof ServerSignals)[];
-  names.forEach(takeSign);
+  const handleSignal = <Name extends keyof ServerSignals>(name: Name) =>
+    handlers[name]({ server, signal: signals[name], source });
+  const names = Object.keys(handlers) as (keyof ServerSignals)[];
+  names.forEach(handleSignal);
 };
--- a/packages/signals/src/index.ts
+++ b/packages/signals/src/index.ts
@@ -1,5 +1,5 @@
-/** What backend servers say of themselves in their answers: each sign has one taker. */
+/** Signals that backend servers' answers carry about the servers themselves; each has one handler. */
 export type * from "./types.js";
-export { NO_SIGNALS as NO_SIGNS } from "./constants.js";
-export { dispatchSignals as takeSigns } from "./dispatchSignals.js";
-export type { ReceivedSignals as HeardSigns } from "./dispatchSignals.js";
+export { NO_SIGNALS } from "./constants.js";
+export { dispatchSignals } from "./dispatchSignals.js";
+export type { ReceivedSignals } from "./dispatchSignals.js";
--- a/packages/signals/src/types.ts
+++ b/packages/signals/src/types.ts
@@ -1,47 +1,47 @@
-/** What backend servers say of themselves in the heads of their answers, as boxes hear it. */
+/** Signals about a backend server itself, decoded from the heads of its answers. */
 import type { Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import type { LimitSignal } from "@stairgauge/limits";
 import type { BackoffSignal } from "@stairgauge/backoffs";
 
-/** Whether a server says that it leaves. */
+/** Whether a server announces that it is leaving; `unreadable`: the header has an invalid value. */
 export type LeavingSignal = Readonly<
   { kind: "unsaid" } | { kind: "leaving" } | { kind: "unreadable"; text: string }
 >;
 
-/** All signs of one answer, decoded once at the edge. */
+/** All signals of one answer. */
 export type ServerSignals = Readonly<{
-  /** The server will close the connection; one that is leaving says so, and others now and then. */
+  /** Whether the server will close the connection; leaving servers do, others only now and then. */
   isClosing: boolean;
-  /** How much longer the server stays cold, where it says so. */
+  /** Remaining warm-up time of the server; undefined if not stated. */
   warmUpLeft: Ms | undefined;
-  /** What the server says of the requests that it takes from all boxes. */
+  /** How many requests the server accepts from all boxes together. */
   limit: LimitSignal;
   leaving: LeavingSignal;
-  /** Whether the server wants nothing of this box for a while. */
+  /** Whether the server asks this box for a backoff. */
   rest: BackoffSignal;
 }>;
 
-/** The kind of call whose answer carried the signs. */
+/** The kind of call whose answer carried the signals. */
 export type SignalSource = Readonly<
   /** A client's request; `sentAgo` is the time since it was sent. */
   | { kind: "request"; request: string | undefined; status: number; sentAgo: Ms }
-  /** The server was asked whether it is there. */
+  /** A health check. */
   | { kind: "health" }
-  /** An engine's report, or a call that copies a run. */
+  /** A request for an engine's load report, or a call that copies a run. */
   | { kind: "call" }
 >;
 
-/** One sign, who gave it, and where. */
-export type ReceivedSignal<Sign> = Readonly<{
+/** One signal, with its server and the call whose answer carried it. */
+export type ReceivedSignal<Signal> = Readonly<{
   server: BackendServer;
-  signal: Sign;
+  signal: Signal;
   source: SignalSource;
 }>;
 
-/** Who takes each sign: one taker each, so that none is decoded for nobody. */
+/** One handler for each signal; the type requires all of them, so that no decoded signal is ignored. */
 export type SignalHandlers = {
   readonly [Name in keyof ServerSignals]: (
-    heard: ReceivedSignal<ServerSignals[Name]>,
+    received: ReceivedSignal<ServerSignals[Name]>,
   ) => void;
 };
