--- a/packages/backoffs/src/constants.ts
+++ b/packages/backoffs/src/constants.ts
@@ -1,22 +1,25 @@
-/** Times and sizes of rests. */
+/** Durations and limits of backoffs. */
 import type { Ms } from "@stairgauge/common";
 
-/** A longer rest is cut to this: one faulty answer must not take a server away from a box for good. */
-export const MAX_REST_MS = 600_000 as Ms;
+/** Longest backoff; a longer one is shortened, so that one faulty answer cannot exclude a server for good. */
+export const MAX_BACKOFF_MS = 600_000 as Ms;
 
 /**
- * Boxes that were turned away together come back spread over this share of the rest, and over no more than this time: all at once
- * they would fill the server again.
+ * Boxes that were turned away at the same time resume at random times after the backoff, spread over
+ * this share of it and at most over this time. All at once, they would overload the server again.
  */
 export const SPREAD_SHARE = 0.25;
 export const MAX_SPREAD_MS = 1_000 as Ms;
 
-/** Requests of a box that may be open at a server which comes back, and from how many on it has come back. */
-export const FIRST_OPEN = 1;
-export const RETURNED_OPEN = 16;
+/**
+ * Number of open requests that a box allows at a server right after a backoff, and the number from which
+ * on it is not limited any more.
+ */
+export const INITIAL_OPEN = 1;
+export const RECOVERED_OPEN = 16;
 
 /**
- * Requests that a server may get in a rest: two are borne. Only those take one that can go nowhere else, a run's continuation and the
- * question whether the server is there.
+ * Largest number of requests during a backoff; servers tolerate two. They are used only for calls that
+ * cannot go to another server: the continuation of a run, and health checks.
  */
-export const MAX_SPARED = 2;
+export const MAX_DURING_BACKOFF = 2;
--- a/packages/backoffs/src/index.ts
+++ b/packages/backoffs/src/index.ts
@@ -1,7 +1,4 @@
-/** Rest that backend servers ask of a box: what it sends them meanwhile, and how it comes back. */
+/** Backoffs that backend servers ask of a box: what it may send during and after them. */
 export type * from "./types.js";
-export { createServerBackoffs as createServerRests } from "./serverBackoffs.js";
-export type {
-  ServerBackoffs as ServerRests,
-  ServerBackoffsOptions as ServerRestsOptions,
-} from "./serverBackoffs.js";
+export { createServerBackoffs } from "./serverBackoffs.js";
+export type { ServerBackoffs, ServerBackoffsOptions } from "./serverBackoffs.js";
--- a/packages/backoffs/src/serverBackoffs.ts
+++ b/packages/backoffs/src/serverBackoffs.ts
@@ -1,102 +1,108 @@
 /**
- * Which servers have asked this box for rest, and how it comes back to them. A rest is between one server and one box: other boxes
- * may go on, and no part of it is told. It ends by its time alone, or by a new start of the server, which is another one.
- * Pure but for the clock and the draws handed in.
+ * Keeps the backoffs that servers asked this box for, and limits requests during and after them. A
+ * backoff concerns one server and one box: other boxes are not affected and it is not shared with them.
+ * It ends only when its time is over. A restarted server has a new id and thus no backoff.
+ * Pure apart from the given clock and random source.
  */
 import type { Clock, Ms, Random } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import {
-  FIRST_OPEN,
-  MAX_REST_MS,
-  MAX_SPARED,
+  INITIAL_OPEN,
+  MAX_BACKOFF_MS,
+  MAX_DURING_BACKOFF,
   MAX_SPREAD_MS,
-  RETURNED_OPEN,
+  RECOVERED_OPEN,
   SPREAD_SHARE,
 } from "./constants.js";
 import type { BackoffEvent } from "./types.js";
 
-/** What the rests need. */
+/** Options of the backoffs. */
 export type ServerBackoffsOptions = Readonly<{
-  /** The steady clock: a box that was suspended rests longer than it was asked, never shorter. */
+  /** A monotonic clock, so that a suspended box backs off longer than asked, never shorter. */
   clock: Pick<Clock, "monotonic">;
   random: Pick<Random, "nextFloat">;
   onEvent: (event: BackoffEvent) => void;
 }>;
 
-/** The rests of one box. */
+/** The backoffs of one box. */
 export type ServerBackoffs = Readonly<{
-  /** A server has turned a request away, and asks for rest. */
+  /** Starts or prolongs the backoff of a server that rejected a request and asked for it. */
   begin: (server: ServerId, duration: Ms) => void;
-  /** A server has answered a request without asking for rest; the request was sent so long ago. */
+  /** Records an answer without a backoff to a request that was sent `sentAgo` ago. */
   recordAnswer: (server: ServerId, sentAgo: Ms) => void;
-  /** Whether a server may be sent a request, with so many of this box's open there. */
+  /** Whether the server may be sent a request, given the number of this box's open requests there. */
   mayTake: (server: ServerId, open: number) => boolean;
   isResting: (server: ServerId) => boolean;
-  /** Takes one of the few requests that a server in rest may be sent; always yes at one that doesn't rest. */
+  /** Whether the server may be sent one of the few requests allowed during a backoff; always true without a backoff. */
   takeSpared: (server: ServerId) => boolean;
-  /** Servers that rest now. */
+  /** Servers whose backoff is not over. */
   listResting: () => readonly ServerId[];
-  /** When a client that was refused for these servers' rest should come back. */
+  /** Retry delay of a client that was refused because of the backoffs of these servers. */
   computeRetryAfter: (servers: readonly ServerId[]) => Ms;
   forget: (server: ServerId) => void;
 }>;
 
-type Rest = Readonly<{
-  /** When this box comes back. */
+type Backoff = Readonly<{
+  /** When this box resumes, on the monotonic clock. */
   until: number;
-  spared: number;
+  sentDuringBackoff: number;
   isOver: boolean;
-  /** Requests that may be open at the server once the rest is over. */
-  mostOpen: number;
+  /** Open requests allowed at the server after the backoff. */
+  maxOpen: number;
 }>;
 
-/** Creates the rests; no server has asked for any. */
+/** Creates an empty set of backoffs. */
 export const createServerBackoffs = (options: ServerBackoffsOptions): ServerBackoffs => {
   const { clock, random, onEvent } = options;
-  const rests = new Map<ServerId, Rest>();
+  const backoffs = new Map<ServerId, Backoff>();
 
   const computeSpread = (duration: Ms) =>
     random.nextFloat() * Math.min(duration * SPREAD_SHARE, MAX_SPREAD_MS);
 
   const begin: ServerBackoffs["begin"] = (server, asked) => {
-    const duration = Math.min(asked, MAX_REST_MS) as Ms;
-    const resting = findResting(server);
+    const duration = Math.min(asked, MAX_BACKOFF_MS) as Ms;
+    const active = findActive(server);
     const until = clock.monotonic() + duration + computeSpread(duration);
-    // Each answer asks for a time of its own: a shorter one takes nothing from a longer one before it.
-    if (resting && resting.until >= until) return;
-    const spared = resting?.spared ?? 0;
-    rests.set(server, { until, spared, isOver: false, mostOpen: FIRST_OPEN });
-    const kind = resting ? "prolonged" : "asked";
+    // A shorter backoff does not shorten an earlier, longer one.
+    if (active && active.until >= until) return;
+    const sentDuringBackoff = active?.sentDuringBackoff ?? 0;
+    backoffs.set(server, {
+      until,
+      sentDuringBackoff,
+      isOver: false,
+      maxOpen: INITIAL_OPEN,
+    });
+    const kind = active ? "prolonged" : "asked";
     onEvent({ kind, server, duration, until: until as Ms });
   };
 
-  const findRest = (server: ServerId): Rest | undefined => {
-    const rest = rests.get(server);
-    if (!rest || rest.isOver || clock.monotonic() < rest.until) return rest;
-    const over = { ...rest, isOver: true };
-    rests.set(server, over);
+  const findBackoff = (server: ServerId): Backoff | undefined => {
+    const backoff = backoffs.get(server);
+    if (!backoff || backoff.isOver || clock.monotonic() < backoff.until) return backoff;
+    const over = { ...backoff, isOver: true };
+    backoffs.set(server, over);
     onEvent({ kind: "over", server });
     return over;
   };
-  const findResting = (server: ServerId): Rest | undefined => {
-    const rest = findRest(server);
-    return rest?.isOver ? undefined : rest;
+  const findActive = (server: ServerId): Backoff | undefined => {
+    const backoff = findBackoff(server);
+    return backoff?.isOver ? undefined : backoff;
   };
-  const isResting = (server: ServerId) => findResting(server) !== undefined;
+  const isResting = (server: ServerId) => findActive(server) !== undefined;
 
   const recordAnswer: ServerBackoffs["recordAnswer"] = (server, sentAgo) => {
-    const rest = findRest(server);
-    if (!rest?.isOver || clock.monotonic() - sentAgo < rest.until) return;
-    const mostOpen = rest.mostOpen * 2;
-    if (mostOpen >= RETURNED_OPEN) rests.delete(server);
-    else rests.set(server, { ...rest, mostOpen });
+    const backoff = findBackoff(server);
+    if (!backoff?.isOver || clock.monotonic() - sentAgo < backoff.until) return;
+    const maxOpen = backoff.maxOpen * 2;
+    if (maxOpen >= RECOVERED_OPEN) backoffs.delete(server);
+    else backoffs.set(server, { ...backoff, maxOpen });
   };
 
   const computeRetryAfter: ServerBackoffs["computeRetryAfter"] = (servers) => {
     const now = clock.monotonic();
-    const waits = servers.map((server) => (findRest(server)?.until ?? now) - now);
+    const waits = servers.map((server) => (findBackoff(server)?.until ?? now) - now);
     const wait = Math.max(0, Math.min(...waits));
-    // Clients that were refused one after the other would all come back in the same instant.
+    // Without the random part, clients that were refused one after another would all retry at the same time.
     return Math.ceil(wait + random.nextFloat() * Math.min(wait, MAX_SPREAD_MS)) as Ms;
   };
 
@@ -104,19 +110,22 @@
     begin,
     recordAnswer,
     mayTake: (server, open) => {
-      const rest = findRest(server);
-      return !rest || (rest.isOver && open < rest.mostOpen);
+      const backoff = findBackoff(server);
+      return !backoff || (backoff.isOver && open < backoff.maxOpen);
     },
     isResting,
     takeSpared: (server) => {
-      const resting = findResting(server);
-      if (!resting) return true;
-      if (resting.spared >= MAX_SPARED) return false;
-      rests.set(server, { ...resting, spared: resting.spared + 1 });
+      const active = findActive(server);
+      if (!active) return true;
+      if (active.sentDuringBackoff >= MAX_DURING_BACKOFF) return false;
+      backoffs.set(server, {
+        ...active,
+        sentDuringBackoff: active.sentDuringBackoff + 1,
+      });
       return true;
     },
-    listResting: () => [...rests.keys()].filter(isResting),
+    listResting: () => [...backoffs.keys()].filter(isResting),
     computeRetryAfter,
-    forget: (server) => void rests.delete(server),
+    forget: (server) => void backoffs.delete(server),
   };
 };
--- a/packages/backoffs/src/types.ts
+++ b/packages/backoffs/src/types.ts
@@ -1,20 +1,24 @@
-/** Rest that backend servers ask of one box when they turn its requests away. */
+/** Backoffs that backend servers ask of one box when they reject its requests. */
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 
-/** What one answer of a server says of rest. */
+/** Whether an answer asks for a backoff. */
 export type BackoffSignal = Readonly<
   | { kind: "not_asked" }
-  /** The server has turned the request away, and wants nothing of this box for so long. */
+  /** The server rejected the request and wants no request of this box for the duration. */
   | { kind: "asked"; duration: Ms }
+  /** The header has an invalid value. */
   | { kind: "unreadable"; text: string }
 >;
 
-/** A change of what a box owes a server. */
+/**
+ * A change of a server's backoff. `duration` is the accepted
+ * duration without the spread, and `until` when this box resumes, on the monotonic clock.
+ */
 export type BackoffEvent = Readonly<
   | { kind: "asked"; server: ServerId; duration: Ms; until: Ms }
-  /** The server has turned a request away again, and rests longer than before. */
+  /** The server asked again during the backoff, which now ends later. */
   | { kind: "prolonged"; server: ServerId; duration: Ms; until: Ms }
-  /** It may be sent requests again, few at first. */
+  /** The server may be sent requests again, few at first. */
   | { kind: "over"; server: ServerId }
 >;
