--- a/packages/forwarding/src/askServer.test.ts
+++ b/packages/forwarding/src/askServer.test.ts
@@ -11,7 +11,7 @@
 import type { AnswerHead } from "./types.js";
 
 const HOST = "127.0.0.1";
-const ASKED = "server-1" as ServerName;
+const EXPECTED_NAME = "server-1" as ServerName;
 const STARTED_AT = 1_700_000_000_000 as Ms;
 
 const closers: (() => unknown)[] = [];
@@ -52,7 +52,7 @@
   askServer({
     clock,
     codec,
-    entry: { name: ASKED, address, startedAt },
+    entry: { name: EXPECTED_NAME, address, startedAt },
     healthPath: "/well",
     connectLimit: 5_000 as Ms,
   });
@@ -69,13 +69,15 @@
   it.each(["200 OK", "503 Service Unavailable"])(
     "reports a server as present that answers with %s",
     async (status) => {
-      expect(await askOne(sendAnswer(status, ASKED))).toMatchObject({ kind: "present" });
+      expect(await askOne(sendAnswer(status, EXPECTED_NAME))).toMatchObject({
+        kind: "present",
+      });
     },
   );
 
   it.each([
     ["200 OK", "server-2"],
-    ["421 Misdirected Request", ASKED],
+    ["421 Misdirected Request", EXPECTED_NAME],
   ])(
     "reports the server as ended if its address answers %s as %s",
     async (status, server) => {
@@ -93,7 +95,7 @@
   ])("compares the stated start of the process: %s", async (_what, body, kind) => {
     const { address, close } = await listen((socket) =>
       socket.end(
-        `HTTP/1.1 200 OK\r\nServer: ${ASKED}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
+        `HTTP/1.1 200 OK\r\nServer: ${EXPECTED_NAME}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
       ),
     );
     closers.push(close);
@@ -102,7 +104,9 @@
 
   it("decides by the head if the body does not end", async () => {
     const { address, close } = await listen((socket) => {
-      socket.write(`HTTP/1.1 200 OK\r\nServer: ${ASKED}\r\nContent-Length: 9\r\n\r\n`);
+      socket.write(
+        `HTTP/1.1 200 OK\r\nServer: ${EXPECTED_NAME}\r\nContent-Length: 9\r\n\r\n`,
+      );
       socket.end();
     });
     closers.push(close);
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -36,7 +36,7 @@
   /** Frees the server's slot. */
   readonly release: () => void;
   /** Watches for a server that sends no answer head; undefined if the attempt is not watched. */
-  silence: Timer | undefined;
+  silenceWatch: Timer | undefined;
 };
 
 /** Creates an attempt that has not been sent. */
@@ -57,7 +57,7 @@
   body: { kind: "held", parts: [] },
   heldBytes: 0,
   release,
-  silence: undefined,
+  silenceWatch: undefined,
 });
 
 /** Bytes of an incomplete event that the server has started to send. */
@@ -68,10 +68,10 @@
 export const sendHeldAnswer = (
   answer: Pick<ClientAnswer, "sendWhole">,
   { head, reason, body }: Attempt,
-  own: RawHeaders,
+  ownHeaders: RawHeaders,
 ): void => {
   const { status, passedOn } = head!;
-  const headers = [...passedOn, ...own];
+  const headers = [...passedOn, ...ownHeaders];
   const parts = body.kind === "held" ? body.parts : [];
   answer.sendWhole({ status, reason, headers }, Buffer.concat(parts));
 };
@@ -80,7 +80,7 @@
  * Whether the server is processing the request: a generation once its answer head has arrived, a plain
  * request as soon as it is sent.
  */
-export const isAtWork = (
+export const isProcessing = (
   { head }: Pick<Attempt, "head">,
   { tokens }: Pick<Demand, "tokens">,
 ): boolean => head !== undefined || tokens === undefined;
--- a/packages/forwarding/src/dispatchCall.ts
+++ b/packages/forwarding/src/dispatchCall.ts
@@ -7,7 +7,7 @@
 import type { PlacementDecision } from "@stairgauge/placement";
 import { createActiveRun, type ActiveRun, type RunContinuation } from "./activeRuns.js";
 import { createAnswerSink } from "./answerSink.js";
-import { createAttempt, isAtWork, sendHeldAnswer, type Attempt } from "./attempt.js";
+import { createAttempt, isProcessing, sendHeldAnswer, type Attempt } from "./attempt.js";
 import { buildExchangeRequest } from "./buildExchangeRequest.js";
 import { computeDemand } from "./computeDemand.js";
 import { computeRetryAfter } from "./computeRetryAfter.js";
@@ -69,7 +69,7 @@
 
   const dropAttempt = () => {
     current?.exchange?.cancel();
-    current?.silence?.cancel();
+    current?.silenceWatch?.cancel();
     current?.release();
     current = undefined;
   };
@@ -93,14 +93,14 @@
   const endOutOfTime = () => {
     if (isOver) return;
     const hasBegun = answer.hasBegun();
-    const mayRunStill = mayHaveRun || hasBegun || (current?.exchange?.isSent() ?? false);
-    reports.reportOutOfTime(current, mayRunStill);
+    const mayStillRun = mayHaveRun || hasBegun || (current?.exchange?.isSent() ?? false);
+    reports.reportOutOfTime(current, mayStillRun);
     if (hasBegun) {
       answer.break();
       finish();
       return;
     }
-    if (mayRunStill) ownAnswers.answerOutOfTime();
+    if (mayStillRun) ownAnswers.answerOutOfTime();
     else ownAnswers.answerNotRun("out_of_time_unsent");
   };
   const limitTimer: Timer = clock.setTimer((endsAt - getNow()) as Ms, endOutOfTime);
@@ -164,7 +164,7 @@
       demand,
       continuation,
     });
-    if (!continuation) attempt.silence = watchAttempt(attempt);
+    if (!continuation) attempt.silenceWatch = watchAttempt(attempt);
     const sink = createAnswerSink({
       codec,
       request,
@@ -211,7 +211,7 @@
   };
 
   const handleHead = (attempt: Attempt, answerHead: AnswerHead) => {
-    attempt.silence?.cancel();
+    attempt.silenceWatch?.cancel();
     attempt.answeredAt = getNow();
     recordServerSignals(deps, { ...attempt, request: head.id }, answerHead);
   };
@@ -270,7 +270,7 @@
 
   const conclude = (attempt: Attempt, end: AttemptEnd) => {
     if (continuations > 0) {
-      refuseContinuation(attempt, end);
+      handleContinuationFailure(attempt, end);
       return;
     }
     const { server } = attempt;
@@ -371,8 +371,8 @@
         ? await runKeeper.recover(run, detail)
         : undefined;
     if (isOver) return;
-    const mayGoOn = continuation && placer.takeContinuation(continuation.server);
-    if (mayGoOn && guard.mayRepeat()) {
+    const mayContinue = continuation && placer.takeContinuation(continuation.server);
+    if (mayContinue && guard.mayRepeat()) {
       continueRun(previous, continuation);
       return;
     }
@@ -393,7 +393,7 @@
     return true;
   };
 
-  const refuseContinuation = (attempt: Attempt, end: AttemptEnd) => {
+  const handleContinuationFailure = (attempt: Attempt, end: AttemptEnd) => {
     reports.reportContinuationRefused(attempt, end);
     if (run) runKeeper.onContinued(run, toContinuationOutcome(end));
     void continueElsewhere(attempt, end);
@@ -416,7 +416,8 @@
       finish();
     },
     stopIfBlocked: () => {
-      if (isOver || relay.hasBegun() || (current && isAtWork(current, demand))) return;
+      if (isOver || relay.hasBegun() || (current && isProcessing(current, demand)))
+        return;
       mayHaveRun ||= current?.exchange?.isSent() ?? false;
       endIfBlocked();
     },
--- a/packages/forwarding/src/guardCall.test.ts
+++ b/packages/forwarding/src/guardCall.test.ts
@@ -29,7 +29,7 @@
       clock.setTimer(checkDuration as Ms, () => resolve({ verdict, detail: "" }));
     });
   let events = 0;
-  /** Creates the guard of the client's next try of the same request. */
+  /** Creates the guard of the next request with the same digest. */
   const begin = () =>
     createCallGuard({
       deps: {
@@ -67,7 +67,7 @@
     expect(call.mayRepeat()).toBe(false);
   });
 
-  it("blocks later tries of the client after three crashes, and reports each crash", async () => {
+  it("blocks later requests of the client after three crashes, and reports each crash", async () => {
     const { begin, breakOff, advance, reported } = createCalls("ended");
     for (const id of ["a", "b", "c"]) {
       const call = begin();
--- a/packages/forwarding/src/streamRelay.ts
+++ b/packages/forwarding/src/streamRelay.ts
@@ -101,9 +101,9 @@
   const passOn = (batch: EventBatch): SegmentStep => {
     const isFirst = events === 0;
     recordEvents(batch);
-    const mayGoOn = answer.write(batch.bytes);
+    const hasCapacity = answer.write(batch.bytes);
     if (isFirst) onFirstEvent();
-    return { kind: "passed_on", isClientSlow: !mayGoOn };
+    return { kind: "passed_on", isClientSlow: !hasCapacity };
   };
 
   /** Whether the first events of a segment may be forwarded; a batch of comments alone does not show its position. */
