--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwarding: clients' requests to backend servers, and the answers back, unchanged. */
+/** Forwards clients' requests to backend servers, and the answers back, unchanged. */
 export type * from "./types.js";
 export type {
   AdmittedRequest,
@@ -8,7 +8,7 @@
   ForwardObserver,
   Placer,
 } from "./forwarderTypes.js";
-export type { Framing, ServerStatus } from "./describeBytesEnd.js";
+export type { Framing, ServerStatus } from "./describeAnswerEnd.js";
 export { createActiveRuns } from "./activeRuns.js";
 export type {
   ActiveRun,
--- a/packages/forwarding/src/requestTries.test.ts
+++ b/packages/forwarding/src/requestAttempts.test.ts
@@ -1,6 +1,7 @@
 /**
- * A server refused plain requests, as not run, while three others were free. What may run once may go to one server, and the one that
- * refused it counted as that one: 24 of 29 such requests were answered with its 503 after 3 ms.
+ * A server that backs off or leaves rejects requests without running them. If such a rejection counts as
+ * the one server that a once-only request may be sent to, its client gets the 503 although other servers
+ * are free: 24 of 29 such requests did, after 3 ms, while three other servers were free.
  *
  *   {"box":"edge-brest-1","server":"i-a11b","afterMs":3,"status":503,"event":"answered"}
  */
@@ -9,7 +10,11 @@
 import type { ServerId } from "@stairgauge/directory";
 import { NO_SIGNALS } from "@stairgauge/signals";
 import type { Route } from "@stairgauge/routing";
-import { createRequestTries, judgeTry, type TryEnd } from "./requestTries.js";
+import {
+  createRequestAttempts,
+  classifyAttempt,
+  type AttemptResult,
+} from "./requestAttempts.js";
 import { makeServer } from "./server.testkit.js";
 
 const SERVERS = ["a", "b", "c", "d", "e"].map(makeServer);
@@ -30,7 +35,7 @@
       candidates: 1,
     } as const;
   };
-  const tries = createRequestTries({
+  const attempts = createRequestAttempts({
     deps: {
       clock,
       placer: { choose } as never,
@@ -44,42 +49,42 @@
     demand: { tier: 1, tokens: undefined },
     mayRepeat: () => true,
   });
-  /** Sends the request to one server after the other until no other may be asked; gives how many it was sent to. */
-  const sendUntilEnd = (ends: readonly TryEnd[]) => {
+  /** Sends the request to one server after another until no retry is allowed; returns the number of attempts. */
+  const sendUntilEnd = (ends: readonly AttemptResult[]) => {
     for (const [at, end] of ends.entries()) {
-      const decision = tries.choose();
-      if (decision.kind === "placed") tries.recordChosen(decision.server.entry.id);
-      tries.recordEnd(end);
-      if (!tries.takeRetry()) return at + 1;
+      const decision = attempts.choose();
+      if (decision.kind === "placed") attempts.recordChosen(decision.server.entry.id);
+      attempts.recordEnd(end);
+      if (!attempts.takeRetry()) return at + 1;
     }
     return ends.length;
   };
-  return { clock, tries, sendUntilEnd };
+  return { clock, attempts, sendUntilEnd };
 };
 
-describe("the tries of a request that may run at one server", () => {
-  it("go on where a server turned it away for reasons of its own, to three at most", () => {
+describe("createRequestAttempts for a request that may be sent to one server", () => {
+  it("retries after servers turned the request away, with at most three attempts", () => {
     const { sendUntilEnd } = setUp({});
-    expect(sendUntilEnd(Array<TryEnd>(5).fill("turned_away"))).toBe(3);
+    expect(sendUntilEnd(Array<AttemptResult>(5).fill("turned_away"))).toBe(3);
   });
 
-  it("end at the first that may have run it, or had no room", () => {
+  it("stops at the first server that may have run the request or was full", () => {
     expect(setUp({}).sendUntilEnd(["counts", "turned_away"])).toBe(1);
     expect(setUp({}).sendUntilEnd(["turned_away", "counts", "turned_away"])).toBe(2);
   });
 
-  it("take from the budget of repeats what goes to a second server, and end with it", () => {
-    const ends = Array<TryEnd>(5).fill("turned_away");
+  it("takes each retry from the retry budget, and stops when it is used up", () => {
+    const ends = Array<AttemptResult>(5).fill("turned_away");
     expect(setUp({}, { budget: 1 }).sendUntilEnd(ends)).toBe(2);
     expect(setUp({}, { budget: 0 }).sendUntilEnd(ends)).toBe(1);
   });
 
-  it("take nothing from it after a server that was not reached", () => {
+  it("takes nothing from the budget after servers that were not reached", () => {
     const { sendUntilEnd } = setUp({}, { budget: 0 });
     expect(sendUntilEnd(["unreached", "unreached", "unreached"])).toBe(3);
   });
 
-  it("end with the time, and with the servers", () => {
+  it("stops after the deadline, and when no server is left", () => {
     const late = setUp({});
     late.clock.advance(1_000 as Ms);
     expect(late.sendUntilEnd(["turned_away", "turned_away"])).toBe(1);
@@ -88,15 +93,15 @@
   });
 });
 
-describe("the tries of a request that may run at two servers", () => {
-  it("count those that may have run it, beside those that turned it away", () => {
+describe("createRequestAttempts for a request that may be sent to two servers", () => {
+  it("counts servers that may have run the request, apart from those that turned it away", () => {
     const { sendUntilEnd } = setUp({ maxServers: 2 });
     expect(sendUntilEnd(["turned_away", "counts", "counts", "turned_away"])).toBe(3);
   });
 });
 
-describe("judgeTry", () => {
-  const RESTS = {
+describe("classifyAttempt", () => {
+  const BACKS_OFF = {
     ...NO_SIGNALS,
     rest: { kind: "asked", duration: 3_000 as Ms },
   } as const;
@@ -104,13 +109,13 @@
 
   it.each([
     ["not sent", false, "not_run", undefined, "unreached"],
-    ["not run by one that rests", true, "not_run", RESTS, "turned_away"],
-    ["not run by one that leaves", true, "not_run", LEAVES, "turned_away"],
-    ["not run by one without room", true, "not_run", NO_SIGNALS, "counts"],
-    ["perhaps run by one that leaves", true, "may_have_run", LEAVES, "counts"],
-    ["run by one that leaves, and failed", true, "ran_and_failed", LEAVES, "counts"],
-    ["perhaps run, and nothing said", true, "may_have_run", undefined, "counts"],
-  ] as const)("%s", (_, wasSent, verdict, signs, end) => {
-    expect(judgeTry(wasSent, verdict, signs)).toBe(end);
+    ["not run by a server that backs off", true, "not_run", BACKS_OFF, "turned_away"],
+    ["not run by a leaving server", true, "not_run", LEAVES, "turned_away"],
+    ["not run by a full server", true, "not_run", NO_SIGNALS, "counts"],
+    ["possibly run by a leaving server", true, "may_have_run", LEAVES, "counts"],
+    ["failed at a leaving server", true, "ran_and_failed", LEAVES, "counts"],
+    ["possibly run, without signals", true, "may_have_run", undefined, "counts"],
+  ] as const)("classifies an attempt as %s", (_, wasSent, verdict, signals, end) => {
+    expect(classifyAttempt(wasSent, verdict, signals)).toBe(end);
   });
 });
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** The operators' configuration: routes, services, workspaces and keys, and how far it is to be trusted. */
+/** The operators' configuration: routes, services, workspaces and keys, and how fresh it is. */
 export type * from "./types.js";
 export { indexConfiguration } from "./indexConfiguration.js";
 export type { ConfigurationIndex } from "./indexConfiguration.js";
--- a/packages/signals/src/dispatchSignals.test.ts
+++ b/packages/signals/src/dispatchSignals.test.ts
@@ -12,25 +12,25 @@
 const SOURCE = { kind: "health" } as const;
 
 describe("dispatchSignals", () => {
-  it("calls the taker of each sign once, with what the answer says", () => {
-    const taken: unknown[] = [];
-    const take =
+  it("calls the handler of each signal once, with the signal of the answer", () => {
+    const received: unknown[] = [];
+    const makeHandler =
       (name: keyof ServerSignals) =>
-      (heard: object): void =>
-        void taken.push([name, heard]);
-    const takers: SignalHandlers = {
-      isClosing: take("isClosing"),
-      warmUpLeft: take("warmUpLeft"),
-      limit: take("limit"),
-      leaving: take("leaving"),
-      rest: take("rest"),
+      (signal: object): void =>
+        void received.push([name, signal]);
+    const handlers: SignalHandlers = {
+      isClosing: makeHandler("isClosing"),
+      warmUpLeft: makeHandler("warmUpLeft"),
+      limit: makeHandler("limit"),
+      leaving: makeHandler("leaving"),
+      rest: makeHandler("rest"),
     };
     const signals = { ...NO_SIGNALS, warmUpLeft: 30 as Ms };
-    dispatchSignals(takers, { server: SERVER, signals, source: SOURCE });
-    expect(taken).toEqual(
-      Object.entries(signals).map(([name, sign]) => [
+    dispatchSignals(handlers, { server: SERVER, signals, source: SOURCE });
+    expect(received).toEqual(
+      Object.entries(signals).map(([name, signal]) => [
         name,
-        { server: SERVER, sign, source: SOURCE },
+        { server: SERVER, signal, source: SOURCE },
       ]),
     );
   });
--- a/packages/signals/src/index.ts
+++ b/packages/signals/src/index.ts
@@ -1,4 +1,4 @@
-/** What backend servers say of themselves in their answers: each sign has one taker. */
+/** Signals that backend servers' answers carry about the servers themselves; each has one handler. */
 export type * from "./types.js";
 export { NO_SIGNALS } from "./constants.js";
 export { dispatchSignals } from "./dispatchSignals.js";
