--- a/packages/peers/src/answerTable.ts
+++ b/packages/peers/src/answerTable.ts
@@ -26,7 +26,7 @@
   // A box that has heard nothing yet has no age to tell.
   if (!mirror || pulse.readWhole().err) return { kind: "not_known" };
   if (question.kind === "whole") {
-    await mirror.awaitState({ atLeast: question.atLeast, wait: catchUpWait });
+    await mirror.awaitRevision({ atLeast: question.atLeast, wait: catchUpWait });
     const read = mirror.readWhole();
     if (read.err) return read.val;
     const { rows, revision, source } = read.val;
--- a/packages/storefeed/src/index.ts
+++ b/packages/storefeed/src/index.ts
@@ -1,4 +1,4 @@
-/** Following tables of the platform's store. */
+/** Follows tables of the platform's store. */
 export type * from "./types.js";
 export {
   INITIAL_REVISION as BEFORE_ALL,
--- a/packages/storefeed/src/restoreGuard.test.ts
+++ b/packages/storefeed/src/restoreGuard.test.ts
@@ -13,9 +13,9 @@
 
 const WAIT = 2_000 as Ms;
 
-/** Rows whose values are numbers that never go back; keys tell the rule for missing rows. */
+/** For rows whose values are numbers that never fall; the prefix of the key selects the decision. */
 const RULES: RestoreRules = {
-  isUndone: (known, copied) => Number(copied.value) < Number(known.value),
+  isUndone: (known, restored) => Number(restored.value) < Number(known.value),
   resolveMissing: ({ key }) => {
     if (key.startsWith("drop")) return { kind: "drop" };
     if (key.startsWith("keep")) return { kind: "keep" };
@@ -26,7 +26,7 @@
 };
 
 const OLD = makeRevision(1, 50);
-const COPIED = makeRevision(2, 30);
+const RESTORED = makeRevision(2, 30);
 
 const makeRow = (key: string, value: number, revision: StoreRevision): StoredRow => ({
   key,
@@ -69,8 +69,8 @@
   return { readWhole, change, listRows, pass, reports, takeUnsettled, listUnsettled };
 };
 
-describe("a table whose store comes back from a copy", () => {
-  it("is as the store says within an era, whole reads among them", () => {
+describe("a table whose store is restored from a backup", () => {
+  it("follows the store within an era, also when a whole read lowers or lacks a row", () => {
     const { readWhole, listRows, reports } = setUp();
     readWhole(makeRevision(1, 3), makeRow("a", 2, makeRevision(1, 2)));
     readWhole(makeRevision(1, 9), makeRow("a", 1, makeRevision(1, 8)));
@@ -83,7 +83,7 @@
     const { readWhole, change, listRows, pass, reports } = setUp();
     readWhole(OLD, makeRow("a", 5, OLD), makeRow("b", 5, OLD));
     readWhole(
-      COPIED,
+      RESTORED,
       makeRow("a", 4, makeRevision(2, 10)),
       makeRow("b", 6, makeRevision(2, 30)),
     );
@@ -99,11 +99,11 @@
     expect(listRows()).toEqual(["a 1"]);
   });
 
-  it("keeps a missing row as long as its rule says, or until it is written or dropped", () => {
+  it("keeps a missing row for the time set by its rule, or until it is written or dropped", () => {
     const { readWhole, change, listRows, pass, reports } = setUp();
     const keys = ["drop", "keep", "a", "b", "c"];
     readWhole(OLD, ...keys.map((key) => makeRow(key, 1, OLD)));
-    readWhole(COPIED);
+    readWhole(RESTORED);
     expect(listRows()).toEqual(["a 1", "b 1", "c 1", "keep 1"]);
     expect(reports[0]!.missing.map(({ key }) => key)).toEqual(["keep", "a", "b", "c"]);
     const written = makeRow("a", 2, makeRevision(2, 31));
@@ -119,39 +119,39 @@
     expect(listRows()).toEqual(["a 2"]);
   });
 
-  it("withholds a row that was dropped as long as its rule says, or until it is written", () => {
+  it("withholds a dropped row for the time set by its rule, or until it is written", () => {
     const { readWhole, change, listRows, pass, reports } = setUp();
     const keys = ["a", "b", "c", "take"];
     readWhole(makeRevision(1, 40), ...keys.map((key) => makeRow(key, 1, OLD)));
     change(OLD, ...keys.map(makeGone));
-    const copied = keys.map((key) => makeRow(key, 1, makeRevision(2, 20)));
-    readWhole(COPIED, ...copied);
+    const restoredRows = keys.map((key) => makeRow(key, 1, makeRevision(2, 20)));
+    readWhole(RESTORED, ...restoredRows);
     expect(listRows()).toEqual(["take 1"]);
     expect(reports[0]!.withheld.map(({ key }) => key)).toEqual(["a", "b", "c"]);
     const written = makeRow("a", 1, makeRevision(2, 31));
     change(written.revision, makePut(written), makeGone("b"));
     expect(listRows()).toEqual(["a 1", "take 1"]);
-    readWhole(makeRevision(2, 33), written, copied[2]!, copied[3]!);
+    readWhole(makeRevision(2, 33), written, restoredRows[2]!, restoredRows[3]!);
     expect(listRows()).toEqual(["a 1", "take 1"]);
     pass(WAIT);
     expect(listRows()).toEqual(["a 1", "c 1", "take 1"]);
   });
 
-  it("takes a row whose dropping a whole read has shown before, and that is no longer withheld, off again", () => {
+  it("does not bring back a withheld row that the next whole read lacks", () => {
     const { readWhole, listRows, pass } = setUp();
     readWhole(makeRevision(1, 40), makeRow("a", 1, OLD));
     readWhole(makeRevision(1, 41));
-    readWhole(COPIED, makeRow("a", 1, makeRevision(2, 20)));
+    readWhole(RESTORED, makeRow("a", 1, makeRevision(2, 20)));
     expect(listRows()).toEqual([]);
     readWhole(makeRevision(2, 31));
     pass(WAIT);
     expect(listRows()).toEqual([]);
   });
 
-  it("may do so again before its writers have written", () => {
+  it("keeps known rows over a second restore before their writers have written", () => {
     const { readWhole, listRows, pass } = setUp();
     readWhole(OLD, makeRow("a", 1, OLD), makeRow("b", 5, OLD));
-    readWhole(COPIED, makeRow("b", 4, makeRevision(2, 9)));
+    readWhole(RESTORED, makeRow("b", 4, makeRevision(2, 9)));
     pass(WAIT - 1);
     readWhole(makeRevision(3, 30), makeRow("b", 4, makeRevision(3, 9)));
     pass(WAIT - 1);
@@ -160,35 +160,35 @@
     expect(listRows()).toEqual(["b 5"]);
   });
 
-  it("is not known to be from a copy to a box that has just started", () => {
+  it("is used as it is, without a report, by a box that has just started", () => {
     const { readWhole, listRows, reports } = setUp();
     readWhole(makeRevision(7, 30), makeRow("a", 1, makeRevision(7, 9)));
     expect(listRows()).toEqual(["a 1"]);
     expect(reports).toEqual([]);
   });
 
-  it("is completed at a box that has just started by what another one knows", () => {
+  it("is completed at a box that has just started by the unsettled rows of another box", () => {
     const other = setUp();
     const keys = ["keep", "a", "gone", "same"];
     other.readWhole(makeRevision(1, 40), ...keys.map((key) => makeRow(key, 5, OLD)));
     other.change(OLD, makeGone("gone"));
-    const copied = [
+    const restoredRows = [
       makeRow("a", 4, makeRevision(2, 20)),
       makeRow("gone", 5, makeRevision(2, 20)),
       makeRow("same", 5, makeRevision(2, 20)),
     ];
-    other.readWhole(COPIED, ...copied);
-    const told = other.listUnsettled();
+    other.readWhole(RESTORED, ...restoredRows);
+    const unsettled = other.listUnsettled();
 
     const started = setUp();
-    started.takeUnsettled(told);
-    started.readWhole(COPIED, ...copied);
+    started.takeUnsettled(unsettled);
+    started.readWhole(RESTORED, ...restoredRows);
     expect(started.listRows()).toEqual(["a 5", "keep 5", "same 5"]);
     started.pass(WAIT);
     expect(started.listRows()).toEqual(["a 5", "gone 5", "keep 5", "same 5"]);
   });
 
-  it("is not taken back by what another box knows, once a row is written again, or in another era", () => {
+  it("ignores unsettled rows of another box if the row was written again or the era differs", () => {
     const { readWhole, takeUnsettled, listRows } = setUp();
     const written = makeRow("gone", 1, makeRevision(2, 31));
     readWhole(makeRevision(2, 31), written);
@@ -199,16 +199,16 @@
     expect(listRows()).toEqual(["gone 1"]);
   });
 
-  it("leaves nothing unsettled once all has been written again", () => {
+  it("has no unsettled rows once all rows have been written again", () => {
     const { readWhole, change, listUnsettled } = setUp();
     readWhole(OLD, makeRow("a", 5, OLD));
-    readWhole(COPIED);
+    readWhole(RESTORED);
     expect(listUnsettled().kept).toHaveLength(1);
     change(makeRevision(2, 31), makePut(makeRow("a", 5, makeRevision(2, 31))));
     expect(listUnsettled()).toEqual({ era: 2, kept: [], withheld: [] });
   });
 
-  it("takes nothing back either where the store insists on an earlier era", () => {
+  it("keeps the later state of a row also when the store returns to an earlier era", () => {
     const { readWhole, listRows } = setUp();
     readWhole(makeRevision(3, 50), makeRow("a", 5, makeRevision(3, 50)));
     readWhole(makeRevision(1, 9), makeRow("a", 4, makeRevision(1, 9)));
--- a/packages/storefeed/src/restoreGuard.ts
+++ b/packages/storefeed/src/restoreGuard.ts
@@ -1,6 +1,6 @@
 /**
- * Guards what is known of a table when the store comes back from a copy. The copy may lack or undo what the store had
- * acknowledged; whoever wrote it writes it again. Until then each table has rules for what counts.
+ * Protects the known rows of a table when the store is restored from a backup. The backup may lack or undo writes that the
+ * store had acknowledged; their writers write them again. Until then the rules of the table decide which rows are used.
  */
 import { assertNever, type Clock, type Ms, type Timer } from "@stairgauge/common";
 import { compareRevisions, UNKNOWN_ERA, type StoreRevision } from "./revision.js";
@@ -8,25 +8,25 @@
 import type { RestoreReport, RestoreRules, UnsettledRows } from "./restoreTypes.js";
 import type { RowChange, StoredRow } from "./types.js";
 
-/** What the guard needs. */
+/** Options of a guard. */
 export type RestoreGuardOptions = Readonly<{
   clock: Clock;
   rules: RestoreRules;
-  /** The table has been read whole for the first time since the store came back. */
+  /** Called after the first whole read of the table since the restore. */
   onRestored: (report: RestoreReport) => void;
 }>;
 
 /** The guard of one table. */
 export type RestoreGuard = Readonly<{
-  /** Follows along before the sink given, which hears what counts. */
+  /** Wraps the sink of a follower, which then receives the rows to be used. */
   observe: (inner: FollowerSink) => FollowerSink;
-  /** Nothing most of the time. */
+  /** Rows in which this box deviates from the store; none except after a restore. */
   listUnsettled: () => UnsettledRows;
-  /** Takes what another box knows beyond the store's copy. */
-  takeUnsettled: (told: UnsettledRows) => void;
+  /** Applies the deviating rows of another box, after the first read of the table; ignored if of another era. */
+  takeUnsettled: (received: UnsettledRows) => void;
 }>;
 
-/** Keys of dropped rows that are remembered, the latest ones. */
+/** How many keys of dropped rows are kept, the latest ones. */
 const MAX_DROPPED = 4_096;
 
 type MutableReport = Readonly<{
@@ -35,30 +35,30 @@
   withheld: StoredRow[];
 }>;
 
-/** Creates a guard that knows no rows. */
+/** Creates a guard without rows. */
 export const createRestoreGuard = (options: RestoreGuardOptions): RestoreGuard => {
   const { clock, rules, onRestored } = options;
-  /** Rows as they count. */
+  /** The rows in use. */
   const known = new Map<string, StoredRow>();
   const dropped = new Set<string>();
   const withheld = new Map<string, StoredRow>();
-  /** What others told before the table was read. */
-  const toldEarly: UnsettledRows[] = [];
-  let tellInner: (change: RowChange) => void = () => undefined;
-  /** Ends of the time for which a row counts, or doesn't, against the store's word. */
-  const waits = new Map<string, Timer>();
+  /** Rows received from other boxes before the table was read. */
+  const deferredUnsettled: UnsettledRows[] = [];
+  let notifyInner: (change: RowChange) => void = () => undefined;
+  /** By key: when a row ends deviating from the store. */
+  const timers = new Map<string, Timer>();
   let last: Readonly<{ asOf: Ms; revision: StoreRevision }> | undefined;
-  /** Versions of the era up to this one may be the copy's. */
-  let copiedUpTo = -Infinity;
+  /** Versions of the current era up to this one may stem from the backup. */
+  let backupVersion = -Infinity;
 
-  const isUnsettled = (key: string) => waits.has(key);
+  const isUnsettled = (key: string) => timers.has(key);
   const settle = (key: string) => {
-    waits.get(key)?.cancel();
-    waits.delete(key);
+    timers.get(key)?.cancel();
+    timers.delete(key);
     withheld.delete(key);
   };
   const settleAll = () => {
-    for (const key of [...waits.keys()]) settle(key);
+    for (const key of [...timers.keys()]) settle(key);
   };
   const recordDropped = (key: string) => {
     dropped.delete(key);
@@ -80,52 +80,55 @@
 
   const isOfOtherEra = ({ revision }: StoredRow) =>
     last !== undefined && revision.era !== last.revision.era;
-  const isCopied = ({ revision }: StoredRow) =>
-    revision.era === last?.revision.era && revision.version <= copiedUpTo;
+  const isFromBackup = ({ revision }: StoredRow) =>
+    revision.era === last?.revision.era && revision.version <= backupVersion;
 
-  /** Lets a change count that comes with time, not from the store. */
-  const changeAfter = (duration: Ms, change: RowChange, key: string) => {
+  /** Applies a change after a time, unless one is scheduled for the row already. */
+  const scheduleChange = (duration: Ms, change: RowChange, key: string) => {
     if (isUnsettled(key)) return;
     const timer = clock.setTimer(duration, () => {
       applyChange(change);
-      tellInner(change);
+      notifyInner(change);
     });
-    waits.set(key, timer);
+    timers.set(key, timer);
   };
 
-  /** Whether a row that the copy lacks counts. */
+  /** Whether a row that the backup lacks is used. */
   const admitMissing = (row: StoredRow): boolean => {
-    const verdict = rules.resolveMissing(row);
+    const decision = rules.resolveMissing(row);
     const { key } = row;
-    switch (verdict.kind) {
+    switch (decision.kind) {
       case "drop":
         return false;
       case "keep":
         return true;
       case "keep_for":
-        changeAfter(verdict.duration, { kind: "gone", key }, key);
+        scheduleChange(decision.duration, { kind: "gone", key }, key);
         return true;
       default:
-        return assertNever(verdict);
+        return assertNever(decision);
     }
   };
-  /** Whether a row that was dropped counts again. */
+  /** Whether a row that was dropped is used again. */
   const admitDropped = (row: StoredRow): boolean => {
-    const verdict = rules.resolveDropped(row);
-    switch (verdict.kind) {
+    const decision = rules.resolveDropped(row);
+    switch (decision.kind) {
       case "take":
         return true;
       case "take_after":
-        changeAfter(verdict.duration, { kind: "put", row }, row.key);
+        scheduleChange(decision.duration, { kind: "put", row }, row.key);
         withheld.set(row.key, row);
         return false;
       default:
-        return assertNever(verdict);
+        return assertNever(decision);
     }
   };
 
-  /** The row that counts, if any. */
-  const judgeCopied = (row: StoredRow, report: MutableReport): StoredRow | undefined => {
+  /** Resolves a row of the backup. Returns the row to use, or undefined if it is withheld. */
+  const resolveRestored = (
+    row: StoredRow,
+    report: MutableReport,
+  ): StoredRow | undefined => {
     const before = known.get(row.key);
     if (before && isOfOtherEra(before) && rules.isUndone(before, row)) {
       report.undone.push(row.key);
@@ -135,8 +138,8 @@
     report.withheld.push(row);
     return undefined;
   };
-  const judgeRow = (row: StoredRow, report: MutableReport) => {
-    if (isCopied(row)) return judgeCopied(row, report);
+  const resolveRow = (row: StoredRow, report: MutableReport) => {
+    if (isFromBackup(row)) return resolveRestored(row, report);
     settle(row.key);
     return row;
   };
@@ -144,18 +147,18 @@
     [...known.values()].filter(
       (row) => !listed.has(row.key) && isOfOtherEra(row) && admitMissing(row),
     );
-  const judgeAll = (rows: readonly StoredRow[]) => {
+  const resolveAll = (rows: readonly StoredRow[]) => {
     const report: MutableReport = { undone: [], missing: [], withheld: [] };
     const listed = new Set(rows.map(({ key }) => key));
     for (const key of [...withheld.keys()]) if (!listed.has(key)) settle(key);
-    const counting = rows.flatMap((row) => judgeRow(row, report) ?? []);
+    const usedRows = rows.flatMap((row) => resolveRow(row, report) ?? []);
     report.missing.push(...listMissing(listed));
-    return { counting: [...counting, ...report.missing], report };
+    return { usedRows: [...usedRows, ...report.missing], report };
   };
-  const replaceKnown = (counting: readonly StoredRow[]) => {
+  const replaceKnown = (usedRows: readonly StoredRow[]) => {
     const before = new Set(known.keys());
     known.clear();
-    for (const row of counting) {
+    for (const row of usedRows) {
       known.set(row.key, row);
       before.delete(row.key);
       dropped.delete(row.key);
@@ -163,47 +166,47 @@
     for (const key of before) recordDropped(key);
   };
 
-  const takeKept = (row: StoredRow) => {
+  const applyKept = (row: StoredRow) => {
     const own = known.get(row.key);
-    const counts = own ? rules.isUndone(row, own) : admitMissing(row);
-    if (!counts) return;
+    const isUsed = own ? rules.isUndone(row, own) : admitMissing(row);
+    if (!isUsed) return;
     known.set(row.key, row);
-    tellInner({ kind: "put", row });
+    notifyInner({ kind: "put", row });
   };
-  const takeWithheld = (row: StoredRow) => {
+  const applyWithheld = (row: StoredRow) => {
     const own = known.get(row.key);
-    // A box that knows another state of it has heard of it later.
+    // A different revision here means that the row was written since.
     if (!own || compareRevisions(own.revision, row.revision) !== 0) return;
     if (admitDropped(row)) return;
     known.delete(row.key);
-    tellInner({ kind: "gone", key: row.key });
+    notifyInner({ kind: "gone", key: row.key });
   };
-  const takeUnsettled = (told: UnsettledRows) => {
+  const takeUnsettled = (received: UnsettledRows) => {
     if (last === undefined) {
-      toldEarly.push(told);
+      deferredUnsettled.push(received);
       return;
     }
-    if (told.era !== last.revision.era) return;
-    told.kept.forEach(takeKept);
-    told.withheld.forEach(takeWithheld);
+    if (received.era !== last.revision.era) return;
+    received.kept.forEach(applyKept);
+    received.withheld.forEach(applyWithheld);
   };
 
   const observe = (inner: FollowerSink): FollowerSink => {
-    tellInner = (change) => inner.onChanges([change], last!.asOf, last!.revision);
+    notifyInner = (change) => inner.onChanges([change], last!.asOf, last!.revision);
     return {
       ...inner,
       onWhole: (rows, asOf, revision) => {
         const isNewEra = last !== undefined && last.revision.era !== revision.era;
         last = { asOf, revision };
         if (isNewEra) {
-          copiedUpTo = revision.version;
+          backupVersion = revision.version;
           settleAll();
         }
-        const { counting, report } = judgeAll(rows);
-        replaceKnown(counting);
-        inner.onWhole(counting, asOf, revision);
+        const { usedRows, report } = resolveAll(rows);
+        replaceKnown(usedRows);
+        inner.onWhole(usedRows, asOf, revision);
         if (isNewEra) onRestored({ ...report, revision, rows: rows.length, isUnsettled });
-        for (const told of toldEarly.splice(0)) takeUnsettled(told);
+        for (const received of deferredUnsettled.splice(0)) takeUnsettled(received);
       },
       onChanges: (changes, asOf, revision) => {
         last = { asOf, revision };
--- a/packages/storefeed/src/restoreTypes.ts
+++ b/packages/storefeed/src/restoreTypes.ts
@@ -1,48 +1,50 @@
-/** What counts of a table when the store comes back from a copy, and how it differs from the copy. */
+/** Which rows of a table are used after the store was restored from a backup that lacks some of its writes. */
 import type { Ms } from "@stairgauge/common";
 import type { StoreRevision } from "./revision.js";
 import type { StoredRow } from "./types.js";
 
-/** What becomes of a known row that the copy lacks. */
-export type MissingVerdict = Readonly<
+/** What to do with a known row that the backup lacks. */
+export type MissingRowDecision = Readonly<
   | { kind: "drop" }
-  /** It counts until somebody writes or drops it. */
+  /** The row is used until it is written or dropped at the store. */
   | { kind: "keep" }
+  /** The row is used for this time, or until it is written or dropped at the store. */
   | { kind: "keep_for"; duration: Ms }
 >;
 
-/** What becomes of a row of the copy that is known to have been dropped. */
-export type DroppedVerdict = Readonly<
+/** What to do with a row of the backup that is known to have been dropped: use it at once, or after a time. */
+export type DroppedRowDecision = Readonly<
   { kind: "take" } | { kind: "take_after"; duration: Ms }
 >;
 
-/** What counts of one table until its writers have written again. */
+/** Rules for the rows of one table, until its writers have written them again after a restore. */
 export type RestoreRules = Readonly<{
-  /** Whether the copy holds an earlier state of a row than is known. */
-  isUndone: (known: StoredRow, copied: StoredRow) => boolean;
-  resolveMissing: (known: StoredRow) => MissingVerdict;
-  resolveDropped: (copied: StoredRow) => DroppedVerdict;
+  /** Whether the restored row is an earlier state than the known one. */
+  isUndone: (known: StoredRow, restored: StoredRow) => boolean;
+  resolveMissing: (known: StoredRow) => MissingRowDecision;
+  resolveDropped: (restored: StoredRow) => DroppedRowDecision;
 }>;
 
-/** How what was known differs from the copy. */
+/** How the rows known before a restore differ from the backup. */
 export type RestoreReport = Readonly<{
   revision: StoreRevision;
+  /** Number of rows in the backup. */
   rows: number;
-  /** Rows of which the copy has an earlier state; what was known counts. */
+  /** Keys of rows of which the backup has an earlier state; the known state is used. */
   undone: readonly string[];
-  /** Rows that the copy lacks, and that count for now. */
+  /** Rows that the backup lacks and that are used for now. */
   missing: readonly StoredRow[];
-  /** Rows that were dropped, and that don't count for now. */
+  /** Rows of the backup that had been dropped and are not used for now. */
   withheld: readonly StoredRow[];
-  /** Whether it still holds of a row that is missing or withheld. */
+  /** Whether the row is still used, or withheld, for a limited time. */
   isUnsettled: (key: string) => boolean;
 }>;
 
-/** Rows that count against the store's word at one box, as it tells them to one that has just started. */
+/** Rows in which a box deviates from the restored store. It sends them to a box that has just started. */
 export type UnsettledRows = Readonly<{
   era: number;
-  /** Rows of other eras that count. */
+  /** Rows of other eras that are still used. */
   kept: readonly StoredRow[];
-  /** Rows of the store that don't count. */
+  /** Rows of the store that are not used. */
   withheld: readonly StoredRow[];
 }>;
--- a/packages/storefeed/src/revision.ts
+++ b/packages/storefeed/src/revision.ts
@@ -1,33 +1,32 @@
-/** The order of what the store says. Versions rise within an era; a new era begins when the store comes back from a copy. */
+/** Revisions of the store. Versions rise within an era; a new era begins when the store is restored from a backup. */
 
-/** A moment of the store's history. */
+/** A point in the history of the store. */
 export type StoreRevision = Readonly<{
-  /** Rises by one each time that versions go back. */
+  /** Rises by one each time the versions go back. */
   era: number;
-  /** Rises with each write of the era. */
+  /** Rises with each write within the era. */
   version: number;
 }>;
 
-/** Era of a store, or of another box, that tells none. */
+/** Era of an answer in which the store or another box names none. */
 export const UNKNOWN_ERA = 0;
 
-/** Before everything that the store has said. */
+/** Earlier than every revision of the store. */
 export const INITIAL_REVISION: StoreRevision = { era: UNKNOWN_ERA, version: 0 };
 
-/** Makes a revision. */
 export const makeRevision = (era: number, version: number): StoreRevision => ({
   era,
   version,
 });
 
-/** Below 0 when `a` is the earlier one, 0 when they are the same. */
+/** Negative when `a` is earlier than `b`, 0 when they are equal. */
 export const compareRevisions = (a: StoreRevision, b: StoreRevision): number =>
   a.era - b.era || a.version - b.version;
 
-/** Whether `a` is the earlier one. */
+/** Whether `a` is earlier than `b`. */
 export const isEarlierRevision = (a: StoreRevision, b: StoreRevision): boolean =>
   compareRevisions(a, b) < 0;
 
-/** Picks the later one. */
+/** Returns the later of two revisions. */
 export const pickLaterRevision = (a: StoreRevision, b: StoreRevision): StoreRevision =>
   isEarlierRevision(a, b) ? b : a;
--- a/packages/storefeed/src/revisionWatermark.ts
+++ b/packages/storefeed/src/revisionWatermark.ts
@@ -1,4 +1,4 @@
-/** The newest revision that a box has seen, over all tables of the store: one counter numbers them. */
+/** The newest revision that a box has seen in any table of the store. One counter numbers the writes of all tables. */
 import {
   INITIAL_REVISION,
   compareRevisions,
@@ -7,43 +7,43 @@
 } from "./revision.js";
 import type { AnswerSource } from "./types.js";
 
-/** The answer that showed a revision. */
+/** A revision, with the table and the kind of source of the answer that carried it. */
 export type ObservedRevision = Readonly<{
   table: string;
   by: AnswerSource["kind"];
   revision: StoreRevision;
 }>;
 
-/** An answer of another era than the newest one seen. */
+/** An answer that changed the era of the watermark; `before` is the watermark's earlier value. */
 export type EraChange = ObservedRevision & Readonly<{ before: StoreRevision }>;
 
-/** The mark that all followers of one store share. */
+/** The watermark that all followers of one store share. */
 export type RevisionWatermark = Readonly<{
   get: () => StoreRevision;
-  raise: (sighting: ObservedRevision) => void;
-  /** Takes what the store says although it is earlier: the store insists on it. */
-  replace: (sighting: ObservedRevision) => void;
-  /** Calls back whenever another era counts than before. */
+  raise: (observed: ObservedRevision) => void;
+  /** Sets the watermark even to an earlier revision, for a store that keeps answering with it. */
+  replace: (observed: ObservedRevision) => void;
+  /** Calls back whenever the era of the watermark changes; the first revision seen is no change. */
   watchEra: (onChange: (change: EraChange) => void) => void;
 }>;
 
-/** Creates a mark that has seen nothing. */
+/** Creates a watermark at the initial revision. */
 export const createRevisionWatermark = (): RevisionWatermark => {
   const watchers: ((change: EraChange) => void)[] = [];
   let newest = INITIAL_REVISION;
 
-  const set = (revision: StoreRevision, sighting: ObservedRevision) => {
+  const set = (revision: StoreRevision, observed: ObservedRevision) => {
     const before = newest;
     newest = revision;
     const isFirst = compareRevisions(before, INITIAL_REVISION) === 0;
     if (isFirst || before.era === newest.era) return;
-    for (const onChange of watchers) onChange({ ...sighting, before });
+    for (const onChange of watchers) onChange({ ...observed, before });
   };
 
   return {
     get: () => newest,
-    raise: (sighting) => set(pickLaterRevision(newest, sighting.revision), sighting),
-    replace: (sighting) => set(sighting.revision, sighting),
+    raise: (observed) => set(pickLaterRevision(newest, observed.revision), observed),
+    replace: (observed) => set(observed.revision, observed),
     watchEra: (onChange) => {
       watchers.push(onChange);
     },
--- a/packages/storefeed/src/tableFollower.test.ts
+++ b/packages/storefeed/src/tableFollower.test.ts
@@ -23,7 +23,7 @@
 type Step = Readonly<
   | { whole: Result<TableSnapshot, StoreFailure> }
   | { changes: Result<TableChanges, StoreFailure>; after?: number }
-  /** No answer at all, until the call is given up. */
+  /** No answer until the call is aborted. */
   | { silence: "whole" | "changes" }
 >;
 
@@ -37,12 +37,12 @@
   revision: toRevision(revision),
 });
 
-/** Plays one answer after another; a call that does not fit the script fails the test. */
+/** The reader answers with one step after another; a call that does not match its step fails the test. */
 const setUp = (steps: readonly Step[], gather = 0, revisions = createRevisionMark()) => {
   const clock = createVirtualClock();
-  const told: string[] = [];
+  const events: string[] = [];
   const calls: string[] = [];
-  const useful: StoreRevision[] = [];
+  const requestedRevisions: StoreRevision[] = [];
   const script = [...steps];
   const waitForAbort = (signal: AbortSignal) =>
     new Promise<Result<never, StoreFailure>>((resolve) => {
@@ -51,18 +51,18 @@
   const reader: StoreReader = {
     readTable: ({ atLeast, signal }) => {
       calls.push("whole");
-      useful.push(atLeast);
+      requestedRevisions.push(atLeast);
       const step = script.shift();
       if (!step) return waitForAbort(signal);
       if ("silence" in step) return waitForAbort(signal);
-      if (!("whole" in step)) throw new TypeError("read whole out of turn");
+      if (!("whole" in step)) throw new TypeError("unexpected readTable call");
       return Promise.resolve(step.whole);
     },
     awaitChanges: ({ since, wait, signal }) => {
       calls.push(`changes since ${since.version}`);
       const step = script.shift();
       if (!step || "silence" in step) return waitForAbort(signal);
-      if (!("changes" in step)) throw new TypeError("followed out of turn");
+      if (!("changes" in step)) throw new TypeError("unexpected awaitChanges call");
       return new Promise((resolve) => {
         clock.setTimer((step.after ?? wait) as Ms, () => resolve(step.changes));
       });
@@ -81,18 +81,19 @@
     onStaleRead: () => undefined,
     sink: {
       onWhole: (rows, asOf) =>
-        told.push(`whole ${rows.map((r) => r.key).join()} as of ${asOf}`),
-      onChanges: (changes, asOf) => told.push(`${changes.length} changes as of ${asOf}`),
-      onFailure: (failure, inARow) => told.push(`${failure.kind} ${inARow}`),
-      onRegained: () => told.push("regained"),
+        events.push(`whole ${rows.map((r) => r.key).join()} as of ${asOf}`),
+      onChanges: (changes, asOf) =>
+        events.push(`${changes.length} changes as of ${asOf}`),
+      onFailure: (failure, inARow) => events.push(`${failure.kind} ${inARow}`),
+      onRegained: () => events.push("regained"),
     },
   });
-  return { clock, follower, told, calls, useful };
+  return { clock, follower, events, calls, requestedRevisions };
 };
 
 describe("createTableFollower", () => {
-  it("reads whole, then follows; an answer counts from when it was asked for", async () => {
-    const { clock, follower, told, calls } = setUp([
+  it("reads the whole table, then its changes, each as of the time of the request", async () => {
+    const { clock, follower, events, calls } = setUp([
       { whole: Ok({ rows: [makeRow("a", 5)], revision: toRevision(7), source }) },
       { changes: Ok({ changes: [], revision: toRevision(9), source }) },
       {
@@ -107,7 +108,7 @@
     follower.start();
     await advanceSettled(clock, 1_100 as Ms);
     follower.stop();
-    expect(told).toEqual([
+    expect(events).toEqual([
       "whole a as of 0",
       "0 changes as of 0",
       "1 changes as of 1000",
@@ -115,7 +116,7 @@
     expect(calls.slice(0, 3)).toEqual(["whole", "changes since 7", "changes since 9"]);
   });
 
-  it("lets changes gather where that is asked for, and loses no time without one", async () => {
+  it("pauses for `gather` after an answer with changes, and not after an empty one", async () => {
     const { clock, follower, calls } = setUp(
       [
         { whole: Ok({ rows: [], revision: toRevision(1), source }) },
@@ -139,8 +140,8 @@
     follower.stop();
   });
 
-  it("reads whole again when the history is gone, without a pause", async () => {
-    const { clock, follower, told } = setUp([
+  it("reads the whole table again without a pause when the history is gone", async () => {
+    const { clock, follower, events } = setUp([
       { whole: Ok({ rows: [], revision: toRevision(1), source }) },
       { changes: Err({ kind: "history_gone" }), after: 10 },
       { whole: Ok({ rows: [makeRow("b", 2)], revision: toRevision(2), source }) },
@@ -148,11 +149,11 @@
     follower.start();
     await advanceSettled(clock, 20 as Ms);
     follower.stop();
-    expect(told).toEqual(["whole  as of 0", "whole b as of 10"]);
+    expect(events).toEqual(["whole  as of 0", "whole b as of 10"]);
   });
 
-  it("does not take a whole read that is older than what the store has shown", async () => {
-    const { clock, follower, told } = setUp([
+  it("rejects a whole read that is older than a revision seen before", async () => {
+    const { clock, follower, events } = setUp([
       { whole: Ok({ rows: [], revision: toRevision(9), source }) },
       { changes: Err({ kind: "history_gone" }), after: 10 },
       { whole: Ok({ rows: [makeRow("old", 3)], revision: toRevision(4), source }) },
@@ -161,11 +162,11 @@
     follower.start();
     await advanceSettled(clock, 300 as Ms);
     follower.stop();
-    expect(told).toEqual(["whole  as of 0", "whole new as of 110"]);
+    expect(events).toEqual(["whole  as of 0", "whole new as of 110"]);
   });
 
-  it("gives a silent store up, says so once a failure, and takes up again", async () => {
-    const { clock, follower, told } = setUp([
+  it("reports each failure of a silent store once, and continues when it answers again", async () => {
+    const { clock, follower, events } = setUp([
       { whole: Ok({ rows: [], revision: toRevision(1), source }) },
       { silence: "changes" },
       { whole: Err({ kind: "refused", status: 503 }) },
@@ -174,30 +175,30 @@
     follower.start();
     await advanceSettled(clock, 2_500 as Ms);
     follower.stop();
-    expect(told.slice(1, 4)).toEqual(["timed_out 1", "refused 2", "regained"]);
-    expect(told[4]).toMatch(/^whole {2}as of /);
+    expect(events.slice(1, 4)).toEqual(["timed_out 1", "refused 2", "regained"]);
+    expect(events[4]).toMatch(/^whole {2}as of /);
   });
 });
 
-describe("a store that comes back from a copy", () => {
-  const BACK = makeRevision(2, 4);
+describe("a store that is restored from a backup", () => {
+  const RESTORED = makeRevision(2, 4);
 
-  it("is read whole once, however much lower its versions are", async () => {
-    const { clock, follower, told, calls } = setUp([
+  it("is read whole once, although its versions are much lower", async () => {
+    const { clock, follower, events, calls } = setUp([
       { whole: Ok({ rows: [], revision: toRevision(90), source }) },
       { changes: Err({ kind: "history_gone" }), after: 10 },
-      { whole: Ok({ rows: [makeRow("copied", 3)], revision: BACK, source }) },
-      { changes: Ok({ changes: [], revision: BACK, source }) },
+      { whole: Ok({ rows: [makeRow("copied", 3)], revision: RESTORED, source }) },
+      { changes: Ok({ changes: [], revision: RESTORED, source }) },
     ]);
     follower.start();
     await advanceSettled(clock, 300 as Ms);
     follower.stop();
-    expect(told).toEqual(["whole  as of 0", "whole copied as of 10"]);
+    expect(events).toEqual(["whole  as of 0", "whole copied as of 10"]);
     expect(calls).toEqual(["whole", "changes since 90", "whole", "changes since 4"]);
   });
 
-  it("is read whole where its versions have caught up and only the era tells", async () => {
-    const { clock, follower, told } = setUp([
+  it("is read whole when its versions have caught up and only the era differs", async () => {
+    const { clock, follower, events } = setUp([
       { whole: Ok({ rows: [], revision: toRevision(9), source }) },
       {
         changes: Ok({ changes: [], revision: makeRevision(2, 30), source }),
@@ -210,16 +211,16 @@
     follower.start();
     await advanceSettled(clock, 300 as Ms);
     follower.stop();
-    expect(told).toEqual(["whole  as of 0", "whole b as of 10"]);
+    expect(events).toEqual(["whole  as of 0", "whole b as of 10"]);
   });
 
-  it("is read whole for every table once one of them shows the era, without a failure", async () => {
+  it("is read whole for every table, without a failure, once an answer for one table shows the new era", async () => {
     const revisions = createRevisionMark();
-    const { clock, follower, told, calls } = setUp(
+    const { clock, follower, events, calls } = setUp(
       [
         { whole: Ok({ rows: [], revision: toRevision(9), source }) },
         { silence: "changes" },
-        { whole: Ok({ rows: [makeRow("b", 2)], revision: BACK, source }) },
+        { whole: Ok({ rows: [makeRow("b", 2)], revision: RESTORED, source }) },
       ],
       0,
       revisions,
@@ -229,31 +230,31 @@
     revisions.raise({ table: "other", by: "store", revision: makeRevision(2, 3) });
     await advanceSettled(clock, 1 as Ms);
     follower.stop();
-    expect(told).toEqual(["whole  as of 0", "whole b as of 50"]);
+    expect(events).toEqual(["whole  as of 0", "whole b as of 50"]);
     expect(calls.slice(0, 3)).toEqual(["whole", "changes since 9", "whole"]);
   });
 
-  it("is not believed to be what it was by an answer of the era before that arrives late", async () => {
-    const { clock, follower, told } = setUp([
-      { whole: Ok({ rows: [], revision: BACK, source }) },
+  it("is not taken to be in the earlier era again by a late answer of that era", async () => {
+    const { clock, follower, events } = setUp([
+      { whole: Ok({ rows: [], revision: RESTORED, source }) },
       { changes: Ok({ changes: [], revision: toRevision(99), source }), after: 10 },
       { whole: Ok({ rows: [makeRow("lost", 98)], revision: toRevision(99), source }) },
-      { whole: Ok({ rows: [makeRow("kept", 3)], revision: BACK, source }) },
+      { whole: Ok({ rows: [makeRow("kept", 3)], revision: RESTORED, source }) },
     ]);
     follower.start();
     await advanceSettled(clock, 300 as Ms);
     follower.stop();
-    expect(told).toEqual(["whole  as of 0", "whole kept as of 110"]);
+    expect(events).toEqual(["whole  as of 0", "whole kept as of 110"]);
   });
 
-  it("is taken as it is, and followed, when it insists on an earlier era", async () => {
-    const insisted = {
+  it("is followed in an earlier era once it has answered with it 41 times", async () => {
+    const earlierRead = {
       whole: Ok({ rows: [], revision: toRevision(5), source }),
     } as const;
     const { clock, follower, calls } = setUp([
-      { whole: Ok({ rows: [], revision: BACK, source }) },
+      { whole: Ok({ rows: [], revision: RESTORED, source }) },
       { changes: Err({ kind: "history_gone" }), after: 10 },
-      ...Array.from({ length: 41 }, () => insisted),
+      ...Array.from({ length: 41 }, () => earlierRead),
       { changes: Ok({ changes: [], revision: toRevision(5), source }) },
     ]);
     follower.start();
@@ -262,13 +263,13 @@
     expect(calls.slice(-3)).toEqual(["whole", "changes since 5", "changes since 5"]);
   });
 
-  it("is of use in whatever state to a follower that has read nothing, and from its era on to others", async () => {
+  it("is asked for any revision by a follower that has read nothing, also when the watermark is later", async () => {
     const revisions = createRevisionMark();
-    revisions.raise({ table: "other", by: "store", revision: BACK });
-    const { clock, follower, useful } = setUp(
+    revisions.raise({ table: "other", by: "store", revision: RESTORED });
+    const { clock, follower, requestedRevisions } = setUp(
       [
         { whole: Ok({ rows: [], revision: toRevision(9), source }) },
-        { whole: Ok({ rows: [], revision: BACK, source }) },
+        { whole: Ok({ rows: [], revision: RESTORED, source }) },
       ],
       0,
       revisions,
@@ -276,6 +277,6 @@
     follower.start();
     await advanceSettled(clock, 150 as Ms);
     follower.stop();
-    expect(useful).toEqual([BEFORE_ALL, BEFORE_ALL]);
+    expect(requestedRevisions).toEqual([BEFORE_ALL, BEFORE_ALL]);
   });
 });
--- a/packages/storefeed/src/tableFollower.ts
+++ b/packages/storefeed/src/tableFollower.ts
@@ -1,4 +1,4 @@
-/** Follows one table of the store: reads it whole, then waits for its changes, again after each failure. */
+/** Follows one table of the store: reads it whole, then waits for its changes; retries after each failure. */
 import { waitFor, type Clock, type Ms, type Random } from "@stairgauge/common";
 import {
   INITIAL_REVISION,
@@ -17,37 +17,38 @@
   TableSnapshot,
 } from "./types.js";
 
-/** When what a follower tells was true at the store: at this time or later, and at which revision. */
+/** Receives the table and its changes. `asOf` is a monotonic time: the state was true at the store then or later. */
 export type FollowerSink = Readonly<{
   onWhole: (rows: readonly StoredRow[], asOf: Ms, revision: StoreRevision) => void;
   onChanges: (changes: readonly RowChange[], asOf: Ms, revision: StoreRevision) => void;
   onFailure: (failure: StoreFailure, failuresInARow: number) => void;
-  /** The store answers again after failures. */
+  /** A read succeeds again after failures. */
   onRegained: () => void;
 }>;
 
-/** A whole read that was not taken, since it is older than what the store has shown before. */
+/** A whole read that was rejected because it is older than the newest revision seen before. */
 export type StaleRead = Readonly<{
   table: string;
   by: AnswerSource["kind"];
   revision: StoreRevision;
   newest: StoreRevision;
+  /** How many reads were rejected in a row, this one included. */
   inARow: number;
 }>;
 
-/** How a table is followed. */
+/** Options of a follower. */
 export type FollowerOptions = Readonly<{
   table: string;
   reader: StoreReader;
   clock: Clock;
   random: Random;
-  /** How long the store holds a call without a change. */
+  /** How long the store holds a request while there is no change. */
   wait: Ms;
-  /** How long to let changes gather before the next call, once one has come; 0 where each matters at once. */
+  /** Pause after an answer with changes, so that the next answer carries several; 0 to receive each at once. */
   gather: Ms;
-  /** How much longer than that an answer may take before it counts as lost. */
+  /** Time limit of a whole read; a request for changes may take this much longer than `wait`. */
   patience: Ms;
-  /** First pause after a failure; it doubles up to the second. */
+  /** Pause after the first failure; it doubles with each further failure, up to `most`. */
   retryPause: Readonly<{ first: Ms; most: Ms }>;
   /** Shared by all followers of the store. */
   revisions: RevisionWatermark;
@@ -55,19 +56,19 @@
   onStaleRead: (read: StaleRead) => void;
 }>;
 
-/** A follower that can be started, stopped, and told to ask again at once. */
+/** A follower of one table. */
 export type TableFollower = Readonly<{
   start: () => void;
   stop: () => void;
-  /** Gives up the call under way and reads the table whole. */
+  /** Aborts the current request and reads the whole table. */
   reread: () => void;
 }>;
 
-/** Why a call is given up whose table is read whole instead: the store has come back from a copy since it was made. */
+/** Abort reason of a request that is replaced by a whole read, because the store was restored from a backup meanwhile. */
 export const NEW_ERA = "new_era";
 
-/** Whole reads that may be older than what is known before one is taken as it is. */
-const STALE_READS_BORNE = 40;
+/** Stale whole reads that are rejected in a row; the next one is accepted, since the store has really gone back. */
+const MAX_STALE_READS = 40;
 const BACKOFF_FACTOR = 2;
 
 /** Creates a follower. */
@@ -110,29 +111,29 @@
     failures = 0;
   };
 
-  /** No later than the truth, however long the answer was under way: from the asking back by what its source says. */
+  /** A lower bound, however long the answer took: the time of the request, minus the age given by a box that answered. */
   const computeAsOf = (sentAt: Ms, source: AnswerSource): Ms =>
     (source.kind === "store" ? sentAt : sentAt - source.age) as Ms;
 
-  /** The store's answers show the newest revision of all tables; another box tells that of the one table. */
+  /** The revision that a read must have reached. The store answers with the revision of all tables, a box with that of one. */
   const getNewest = ({ source }: TableSnapshot, newestBefore: StoreRevision) =>
     source.kind === "store" ? newestBefore : tableRevision;
 
-  /** Versions of another era say nothing of what came since. */
+  /** Versions of different eras cannot be compared. */
   const isOfOtherEra = ({ era }: StoreRevision) => era !== revisions.get().era;
 
-  /** To a follower that knows nothing of its table yet every state is of use. */
-  const getLeastUseful = (): StoreRevision =>
+  /** The earliest revision that a read is useful from: any one before the first read. */
+  const getMinRevision = (): StoreRevision =>
     hasRead
       ? pickLaterRevision(tableRevision, makeRevision(revisions.get().era, 0))
       : INITIAL_REVISION;
 
-  /** Whether a whole read is to be made again instead. */
-  const isPassedOver = (read: TableSnapshot, newestBefore: StoreRevision): boolean => {
+  /** Whether a whole read is too old and has to be repeated; accepts it after MAX_STALE_READS. */
+  const isRejected = (read: TableSnapshot, newestBefore: StoreRevision): boolean => {
     const newest = getNewest(read, newestBefore);
     const { revision, source } = read;
     if (!isEarlierRevision(revision, newest)) return false;
-    if (staleReads >= STALE_READS_BORNE) {
+    if (staleReads >= MAX_STALE_READS) {
       revisions.replace({ table, by: source.kind, revision });
       return false;
     }
@@ -141,12 +142,12 @@
     return true;
   };
 
-  /** Reads the table whole; undefined after a failure or a stale answer. */
+  /** Reads the whole table. Returns its revision, or undefined after a failure or a stale answer. */
   const readWhole = async (): Promise<StoreRevision | undefined> => {
     const sentAt = clock.monotonic();
     const newestBefore = revisions.get();
     const read = await callWithin(patience, (signal) =>
-      reader.readTable({ table, atLeast: getLeastUseful(), signal }),
+      reader.readTable({ table, atLeast: getMinRevision(), signal }),
     );
     if (isStopped) return undefined;
     if (read.err) {
@@ -155,7 +156,7 @@
       return undefined;
     }
     const { rows, revision, source } = read.val;
-    if (isPassedOver(read.val, newestBefore)) {
+    if (isRejected(read.val, newestBefore)) {
       await waitFor(clock, retryPause.first);
       return undefined;
     }
@@ -168,7 +169,7 @@
     return revision;
   };
 
-  /** Waits for changes after `since`; the revision to go on from, or undefined to read whole. */
+  /** Waits for changes after `since`. Returns the revision to continue from, or undefined if the whole table must be read. */
   const followOnce = async (since: StoreRevision): Promise<StoreRevision | undefined> => {
     const sentAt = clock.monotonic();
     const read = await callWithin((wait + patience) as Ms, (signal) =>
@@ -180,11 +181,11 @@
       await recordFailure(read.val);
       return undefined;
     }
-    const { changes, source, revision: told } = read.val;
-    revisions.raise({ table, by: source.kind, revision: told });
+    const { changes, source, revision: answered } = read.val;
+    revisions.raise({ table, by: source.kind, revision: answered });
     recordAnswer();
-    if (told.era !== since.era) return undefined;
-    const revision = pickLaterRevision(since, told);
+    if (answered.era !== since.era) return undefined;
+    const revision = pickLaterRevision(since, answered);
     tableRevision = revision;
     sink.onChanges(changes, computeAsOf(sentAt, source), revision);
     if (changes.length > 0 && gather > 0) await waitFor(clock, gather);
--- a/packages/storefeed/src/tableMirror.test.ts
+++ b/packages/storefeed/src/tableMirror.test.ts
@@ -9,12 +9,12 @@
 
 const toRevision = (version: number) => makeRevision(1, version);
 
-const takeNothing = () => undefined;
-const NOBODY: FollowerSink = {
-  onWhole: takeNothing,
-  onChanges: takeNothing,
-  onFailure: takeNothing,
-  onRegained: takeNothing,
+const acceptCall = () => undefined;
+const EMPTY_SINK: FollowerSink = {
+  onWhole: acceptCall,
+  onChanges: acceptCall,
+  onFailure: acceptCall,
+  onRegained: acceptCall,
 };
 
 const makeRow = (key: string, revision: number) => ({
@@ -30,12 +30,12 @@
 const setUp = () => {
   const clock = createVirtualClock();
   const mirror = createTableMirror(clock);
-  return { clock, mirror, sink: mirror.observe(NOBODY) };
+  return { clock, mirror, sink: mirror.observe(EMPTY_SINK) };
 };
 const WAIT = 1_000 as Ms;
 
 describe("createTableMirror", () => {
-  it("knows nothing before the table has been read", async () => {
+  it("answers not_known before the table has been read", async () => {
     const { mirror } = setUp();
     expect(mirror.readWhole().val).toEqual({ kind: "not_known" });
     expect((await mirror.awaitChanges({ since: toRevision(0), wait: WAIT })).val).toEqual(
@@ -45,7 +45,7 @@
     );
   });
 
-  it("holds the table as the changes make it, and ages with its own clock", () => {
+  it("applies changes to the rows, and computes its age from its own clock", () => {
     const { clock, mirror, sink } = setUp();
     sink.onWhole([makeRow("a", 1), makeRow("b", 2)], 0 as Ms, toRevision(2));
     sink.onChanges(
@@ -61,7 +61,7 @@
     });
   });
 
-  it("is not made younger by an older confirmation", () => {
+  it("keeps its age when an older confirmation arrives", () => {
     const { clock, mirror, sink } = setUp();
     clock.advance(100 as Ms);
     sink.onWhole([], 90 as Ms, toRevision(2));
@@ -69,7 +69,7 @@
     expect(mirror.getAge()).toBe(10);
   });
 
-  it("answers at once with what came since, and not before there is news otherwise", async () => {
+  it("answers at once with changes since the revision, and otherwise waits for the next update", async () => {
     const { clock, mirror, sink } = setUp();
     sink.onWhole([], 0 as Ms, toRevision(2));
     sink.onChanges([makePut("a", 4)], 0 as Ms, toRevision(4));
@@ -94,14 +94,14 @@
     });
   });
 
-  it("never takes back a revision that the caller knows already", async () => {
+  it("answers with the caller's revision if that is later than its own", async () => {
     const { mirror, sink } = setUp();
     sink.onWhole([], 0 as Ms, toRevision(2));
     const ahead = await mirror.awaitChanges({ since: toRevision(9), wait: 0 as Ms });
     expect(ahead.val).toMatchObject({ changes: [], revision: toRevision(9) });
   });
 
-  it("says that it no longer keeps what is long past, and after a whole read what was before it", async () => {
+  it("answers history_gone for changes that it has dropped or that precede the last whole read", async () => {
     const { mirror, sink } = setUp();
     sink.onWhole([], 0 as Ms, toRevision(1));
     for (let version = 2; version <= 300; version += 1)
@@ -115,7 +115,7 @@
     expect(before.val).toEqual({ kind: "history_gone" });
   });
 
-  it("sends who follows it to a whole read when the store has come back from a copy", async () => {
+  it("answers history_gone to a caller of the earlier era when the store was restored from a backup", async () => {
     const { mirror, sink } = setUp();
     sink.onWhole([], 0 as Ms, toRevision(50));
     const waiting = mirror.awaitChanges({ since: toRevision(50), wait: WAIT });
@@ -128,25 +128,28 @@
     expect(ahead.val).toMatchObject({ changes: [], revision: makeRevision(3, 1) });
   });
 
-  it("answers a box that tells no era by the era that it holds", async () => {
+  it("answers a box that sends no era as if it had sent the mirror's era", async () => {
     const { mirror, sink } = setUp();
     sink.onWhole([], 0 as Ms, makeRevision(4, 2));
     sink.onChanges([makePut("a", 3)], 0 as Ms, makeRevision(4, 3));
-    const news = await mirror.awaitChanges({ since: makeRevision(0, 3), wait: 0 as Ms });
-    expect(news.val).toMatchObject({ changes: [], revision: makeRevision(4, 3) });
+    const recent = await mirror.awaitChanges({
+      since: makeRevision(0, 3),
+      wait: 0 as Ms,
+    });
+    expect(recent.val).toMatchObject({ changes: [], revision: makeRevision(4, 3) });
   });
 
-  it("lets who is ahead of it wait for the state that is of use, and no longer than asked", async () => {
+  it("lets a caller wait until the mirror has reached its revision, at most for the given time", async () => {
     const { clock, mirror, sink } = setUp();
     sink.onWhole([], 0 as Ms, toRevision(50));
-    const useful = { atLeast: makeRevision(2, 0), wait: 200 as Ms };
-    const told: string[] = [];
-    void mirror.awaitState(useful).then(() => told.push("in time"));
+    const request = { atLeast: makeRevision(2, 0), wait: 200 as Ms };
+    const resolved: string[] = [];
+    void mirror.awaitRevision(request).then(() => resolved.push("in time"));
     sink.onWhole([], 0 as Ms, makeRevision(2, 4));
     await Promise.resolve();
-    await mirror.awaitState(useful);
-    expect(told).toEqual(["in time"]);
-    const late = mirror.awaitState({ ...useful, atLeast: makeRevision(3, 0) });
+    await mirror.awaitRevision(request);
+    expect(resolved).toEqual(["in time"]);
+    const late = mirror.awaitRevision({ ...request, atLeast: makeRevision(3, 0) });
     clock.advance(200 as Ms);
     await late;
     expect(mirror.readWhole().val).toMatchObject({ revision: makeRevision(2, 4) });
--- a/packages/storefeed/src/tableMirror.ts
+++ b/packages/storefeed/src/tableMirror.ts
@@ -1,4 +1,4 @@
-/** What a box knows of one table, kept so that it can be handed on to other boxes with its age. */
+/** One table as a box has last read it, kept in memory to answer other boxes. Each answer carries its age. */
 import { Err, Ok, type Clock, type Ms, type Result } from "@stairgauge/common";
 import {
   INITIAL_REVISION,
@@ -17,45 +17,45 @@
   TableSnapshot,
 } from "./types.js";
 
-/** Why a box cannot answer for a table. */
+/** Why a mirror cannot answer. */
 export type MirrorFailure = Readonly<
-  /** It has not read the table yet. */
+  /** The table has not been read yet. */
   | { kind: "not_known" }
-  /** It no longer keeps the changes since that revision. */
+  /** The changes since the requested revision are no longer kept. */
   | { kind: "history_gone" }
 >;
 
 type Relayed<T> = T & Readonly<{ source: RelayedSource }>;
 
-/** A table as one box knows it. */
+/** The mirror of one table. */
 export type TableMirror = Readonly<{
-  /** Follows along before the sink given. */
+  /** Wraps the sink of a follower: updates the mirror, then passes each call on. */
   observe: (inner: FollowerSink) => FollowerSink;
-  /** How long ago what it holds was true at the store, at most. */
+  /** How long ago the mirrored rows were true at the store, at most; infinite before the first read. */
   getAge: () => Ms;
   readWhole: () => Result<Relayed<TableSnapshot>, MirrorFailure>;
-  /** Resolves once the table is as new as that, or the wait is over; at once where it was never read. */
-  awaitState: (useful: UsefulState) => Promise<void>;
-  /** As the store does, from what this box knows. */
+  /** Resolves once the mirror has reached the revision, or after the wait; at once if the table was never read. */
+  awaitRevision: (request: AwaitRevisionRequest) => Promise<void>;
+  /** Does the same as the store's `awaitChanges`, from the mirror. */
   awaitChanges: (
     request: Pick<ChangesRequest, "since" | "wait">,
   ) => Promise<Result<Relayed<TableChanges>, MirrorFailure>>;
 }>;
 
-/** Changes kept; a box that is further behind reads the table whole. */
+/** Changes kept; a box that is further behind has to read the whole table. */
 const MAX_CHANGES = 200;
 
 type KeptChange = Readonly<{ change: RowChange; revision: StoreRevision }>;
 
-/** Which state of the table is of use to who asks, and how long it may be waited for. */
-export type UsefulState = Readonly<{ atLeast: StoreRevision; wait: Ms }>;
+/** The earliest revision that the caller can use, and how long to wait for it. */
+export type AwaitRevisionRequest = Readonly<{ atLeast: StoreRevision; wait: Ms }>;
 
-/** Creates a mirror that knows nothing yet. */
+/** Creates a mirror without rows, of a table that has not been read. */
 export const createTableMirror = (clock: Clock): TableMirror => {
   const rows = new Map<string, StoredRow>();
   let changes: KeptChange[] = [];
   let revision: StoreRevision | undefined;
-  /** Changes since this revision are all kept. */
+  /** All changes after this revision are kept. */
   let keptSince = INITIAL_REVISION;
   let confirmedAt = -Infinity;
   const waiting = new Set<() => void>();
@@ -71,7 +71,7 @@
     confirmedAt = Math.max(confirmedAt, asOf);
   };
 
-  const takeWhole = (all: readonly StoredRow[], asOf: Ms, at: StoreRevision) => {
+  const applyWhole = (all: readonly StoredRow[], asOf: Ms, at: StoreRevision) => {
     rows.clear();
     for (const row of all) rows.set(row.key, row);
     changes = [];
@@ -80,7 +80,7 @@
     confirm(asOf);
     endWaits();
   };
-  const takeChange = (change: RowChange, at: StoreRevision) => {
+  const applyChange = (change: RowChange, at: StoreRevision) => {
     if (change.kind === "put") rows.set(change.row.key, change.row);
     else rows.delete(change.key);
     changes.push({ change, revision: at });
@@ -88,8 +88,12 @@
   const dropOldest = () => {
     while (changes.length > MAX_CHANGES) keptSince = changes.shift()!.revision;
   };
-  const takeChanges = (news: readonly RowChange[], asOf: Ms, at: StoreRevision) => {
-    for (const change of news) takeChange(change, at);
+  const applyChanges = (
+    newChanges: readonly RowChange[],
+    asOf: Ms,
+    at: StoreRevision,
+  ) => {
+    for (const change of newChanges) applyChange(change, at);
     dropOldest();
     revision = at;
     confirm(asOf);
@@ -102,11 +106,12 @@
       .map(({ change }) => change);
 
   const answerChanges = (
-    asked: StoreRevision,
+    requested: StoreRevision,
   ): Result<Relayed<TableChanges>, MirrorFailure> => {
     if (revision === undefined) return Err({ kind: "not_known" });
-    // A box of an earlier release tells no era; it can only mean the one that it was told last.
-    const since = asked.era === UNKNOWN_ERA ? { ...asked, era: revision.era } : asked;
+    // A box of an earlier release sends no era; it means the era of the answer that it received last.
+    const since =
+      requested.era === UNKNOWN_ERA ? { ...requested, era: revision.era } : requested;
     if (isEarlierRevision(since, keptSince)) return Err({ kind: "history_gone" });
     return Ok({
       changes: listSince(since),
@@ -115,11 +120,11 @@
     });
   };
 
-  const isBefore = (state: StoreRevision) =>
+  const isBehind = (state: StoreRevision) =>
     revision !== undefined && isEarlierRevision(revision, state);
 
-  /** Whoever waits is answered when the store has confirmed what is known, too: the age told is then the least. */
-  const waitForNews = (duration: Ms) =>
+  /** Also ends when the store confirms the table without a change: the age in the answer is lowest then. */
+  const waitForUpdate = (duration: Ms) =>
     new Promise<void>((resolve) => {
       const endWait = () => {
         waiting.delete(endWait);
@@ -134,12 +139,12 @@
     observe: (inner) => ({
       ...inner,
       onWhole: (all, asOf, at) => {
-        takeWhole(all, asOf, at);
+        applyWhole(all, asOf, at);
         inner.onWhole(all, asOf, at);
       },
-      onChanges: (news, asOf, at) => {
-        takeChanges(news, asOf, at);
-        inner.onChanges(news, asOf, at);
+      onChanges: (newChanges, asOf, at) => {
+        applyChanges(newChanges, asOf, at);
+        inner.onChanges(newChanges, asOf, at);
       },
     }),
     getAge: () => getSource().age,
@@ -147,13 +152,13 @@
       revision === undefined
         ? Err({ kind: "not_known" })
         : Ok({ rows: [...rows.values()], revision, source: getSource() }),
-    awaitState: async ({ atLeast, wait }) => {
-      if (isBefore(atLeast)) await waitForNews(wait);
+    awaitRevision: async ({ atLeast, wait }) => {
+      if (isBehind(atLeast)) await waitForUpdate(wait);
     },
     awaitChanges: async ({ since, wait }) => {
       const now = answerChanges(since);
       if (now.err || now.val.changes.length > 0) return now;
-      if (wait > 0) await waitForNews(wait);
+      if (wait > 0) await waitForUpdate(wait);
       return answerChanges(since);
     },
   };
--- a/packages/storefeed/src/types.ts
+++ b/packages/storefeed/src/types.ts
@@ -1,80 +1,81 @@
-/** Rows of the platform's store, as a follower of one table sees them. */
+/** Types for reading and writing tables of the platform's store. */
 import type { Ms, Result } from "@stairgauge/common";
 import type { StoreRevision } from "./revision.js";
 
 /** One row of a table. */
 export type StoredRow = Readonly<{ key: string; value: Buffer; revision: StoreRevision }>;
 
-/** A change of a table: a row as it is now, or one that was dropped. */
+/** A change of a table: a row in its new state, or the key of a row that was dropped. */
 export type RowChange = Readonly<
   { kind: "put"; row: StoredRow } | { kind: "gone"; key: string }
 >;
 
 /**
- * Who answered. The store's answer was true at some moment after it was asked. What another box hands on was true at the
- * store at most `age` before it answered.
+ * Where an answer comes from. The store's answer was true at some moment after the request was sent. The answer of another
+ * box was true at the store at most `age` before that box sent it.
  */
 export type AnswerSource = Readonly<{ kind: "store" } | { kind: "box"; age: Ms }>;
 
-/** The whole of a table at one moment. */
+/** A whole table at one moment. */
 export type TableSnapshot = Readonly<{
   rows: readonly StoredRow[];
   revision: StoreRevision;
   source: AnswerSource;
 }>;
 
-/** Changes since an earlier revision, in order; none when the wait ended without one. */
+/** Changes since an earlier revision, in order; empty when the wait ended without a change. */
 export type TableChanges = Readonly<{
   changes: readonly RowChange[];
   revision: StoreRevision;
   source: AnswerSource;
 }>;
 
-/** What another box hands on. */
+/** The source of an answer that another box has passed on. */
 export type RelayedSource = Extract<AnswerSource, { kind: "box" }>;
 
-/** Why the store gave no answer that can be used. */
+/** Why a read brought no usable answer. */
 export type StoreFailure = Readonly<
   | { kind: "unreachable"; detail: string }
   | { kind: "refused"; status: number }
   | { kind: "timed_out" }
   | { kind: "malformed"; detail: string }
-  /** The history since the revision is gone: read the table whole. */
+  /** The changes since the given revision are no longer kept: the whole table must be read. */
   | { kind: "history_gone" }
 >;
 
-/** A call for a whole table. */
+/** A request for a whole table. */
 export type WholeRequest = Readonly<{
   table: string;
-  /** Revision of the table that the caller knows; an older answer is of no use to it. */
+  /** Newest revision of the table that the caller has read; it cannot use an older answer. */
   atLeast: StoreRevision;
   signal: AbortSignal;
 }>;
 
-/** A call that waits for changes. */
+/** A request that waits for changes of a table. */
 export type ChangesRequest = Readonly<{
   table: string;
   since: StoreRevision;
+  /** How long to wait for a change. */
   wait: Ms;
   signal: AbortSignal;
 }>;
 
-/** Reading calls of the store. */
+/** Read operations of the store. */
 export type StoreReader = Readonly<{
   readTable: (request: WholeRequest) => Promise<Result<TableSnapshot, StoreFailure>>;
-  /** Answers as soon as there is a change, or after `wait` without one. */
+  /** Resolves as soon as there is a change, or after `wait` without one. */
   awaitChanges: (request: ChangesRequest) => Promise<Result<TableChanges, StoreFailure>>;
 }>;
 
-/** Why a write is not known to be done. */
+/** Why a write is not confirmed. */
 export type StoreWriteFailure = Readonly<
-  /** Nothing was done. */
+  /** Nothing was written. */
   | { kind: "refused"; status: number }
-  /** It may have been done, or may still be. */
+  /** The write may have been done, or may still be done later. */
   | { kind: "answer_lost"; detail: string }
 >;
 
-/** Writing calls of the store that need no condition. */
+/** Write operations of the store that have no precondition. */
 export type StoreWriter = Readonly<{
   putRow: (
     row: Readonly<{ table: string; key: string; value: Buffer; signal: AbortSignal }>,
