--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,3 +1,3 @@
-/** Who is there and who leaves. Advice only: promises never rest on it. */
+/** Which servers are live or leaving. The list lags behind, so no guarantee may depend on it. */
 export { createServerListWatcher } from "./serverListWatcher.js";
 export type { ServerListWatcher, ServerListWatcherOptions } from "./serverListWatcher.js";
--- a/packages/membership/src/serverListWatcher.ts
+++ b/packages/membership/src/serverListWatcher.ts
@@ -1,4 +1,4 @@
-/** Watches the platform's lagging list of live and leaving servers. */
+/** Polls the platform's list of live and leaving servers, which lags behind. */
 import {
   createPoller,
   type BackendServerName,
@@ -8,12 +8,12 @@
 } from "@stairgauge/common";
 import type { ListedServer, Platform, ReadFailure } from "@stairgauge/stores";
 
-/** What a watcher needs. */
+/** Options of a watcher. */
 export type ServerListWatcherOptions = Readonly<{
   platform: Platform;
   clock: Clock;
   interval: Ms;
-  /** Told of each change: the server leaves, or does no longer. */
+  /** Called when the list begins or ceases to name a server as leaving. */
   onMark: (server: BackendServerName, isLeaving: boolean) => void;
   onFailure: (failure: ReadFailure) => void;
 }>;
@@ -21,6 +21,7 @@
 /** A running watcher. */
 export type ServerListWatcher = Poller &
   Readonly<{
+    /** Reads the list once. */
     look: () => Promise<void>;
   }>;
 
@@ -31,7 +32,7 @@
       .map((server) => server.name as BackendServerName),
   );
 
-/** Creates a watcher; a server that the list no longer names keeps no mark of the list. */
+/** Creates a watcher. A server that is no longer in the list counts as not leaving. */
 export const createServerListWatcher = (
   options: ServerListWatcherOptions,
 ): ServerListWatcher => {
