--- a/packages/peers/src/adviceCodec.ts
+++ b/packages/peers/src/adviceCodec.ts
@@ -1,4 +1,4 @@
-/** Questions to hubs and their answers as bytes, and back; what another box sends is checked like any input. */
+/** Codec for questions to hubs and their answers. Messages are validated like any input. */
 import type { BoxName, Ms, RegionName, ServiceName } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import { z } from "zod";
@@ -72,11 +72,11 @@
 const encode = (value: unknown): Buffer => Buffer.from(JSON.stringify(value));
 const parse = (bytes: Buffer): unknown => JSON.parse(bytes.toString("utf8"));
 
-/** Encodes a question for a place. */
+/** Encodes a question where to place a run. */
 export const encodePlaceQuestion = (question: PlaceQuestion): Buffer =>
   encode({ ...question, run: toWireRun(question.run) });
 
-/** Decodes a question for a place; throws on bytes that are none, as the transport expects of a decoder. */
+/** Decodes a question where to place a run; throws on invalid bytes, as gRPC expects of a decoder. */
 export const decodePlaceQuestion = (bytes: Buffer): PlaceQuestion => {
   const { box, run, service, ...rest } = placeQuestionSchema.parse(parse(bytes));
   return {
@@ -87,10 +87,10 @@
   };
 };
 
-/** Encodes a hub's choice. */
+/** Encodes a hub's choice of a server. */
 export const encodePlaceAnswer = (answer: PlaceAnswer): Buffer => encode(answer);
 
-/** Decodes a hub's choice; throws on bytes that are none. */
+/** Decodes a hub's choice of a server; throws on invalid bytes. */
 export const decodePlaceAnswer = (bytes: Buffer): PlaceAnswer => {
   const answer = placeAnswerSchema.parse(parse(bytes));
   if (answer.kind !== "placed") return answer;
@@ -98,16 +98,16 @@
   return { ...rest, memoryAfter, reportAge };
 };
 
-/** Encodes a question for moves. */
+/** Encodes a question which runs leave an engine. */
 export const encodeMovesQuestion = (question: MovesQuestion): Buffer => encode(question);
 
-/** Decodes a question for moves; throws on bytes that are none. */
+/** Decodes a question which runs leave an engine; throws on invalid bytes. */
 export const decodeMovesQuestion = (bytes: Buffer): MovesQuestion =>
   movesQuestionSchema.parse(parse(bytes));
 
-/** Encodes what leaves an engine and where to. */
+/** Encodes the runs that leave an engine, and their targets. */
 export const encodeMovesAnswer = (answer: MovesAnswer): Buffer => encode(answer);
 
-/** Decodes what leaves an engine and where to; throws on bytes that are none. */
+/** Decodes the runs that leave an engine, and their targets; throws on invalid bytes. */
 export const decodeMovesAnswer = (bytes: Buffer): MovesAnswer =>
   movesAnswerSchema.parse(parse(bytes));
--- a/packages/peers/src/answerTable.ts
+++ b/packages/peers/src/answerTable.ts
@@ -1,29 +1,30 @@
-/** Answers another box's question for a table by what this one knows. */
+/** Answers table questions of other boxes from this box's mirrors. */
 import type { Ms } from "@stairgauge/common";
 import type { TableMirror } from "@stairgauge/storefeed";
 import type { TableAnswer, TableQuestion } from "./types.js";
 
 /** What a box answers from. */
 export type AnswerSources = Readonly<{
+  /** Mirrors by table. */
   mirrors: ReadonlyMap<string, TableMirror>;
   /**
-   * The table that the store confirms most often, and whose age is bound by a promise: how long ago it was confirmed is how
-   * long the store is silent. Others hardly change, are confirmed seldom, and prove nothing of this one when they are.
+   * The table that the store confirms most often, and whose age is bounded by a guarantee. The time since its last
+   * confirmation counts as the silence of the store. Other tables rarely change and are rarely confirmed, and their
+   * confirmation proves nothing about this one.
    */
   pulse: TableMirror;
-  /** A waiting question is answered sooner when the store is silent for longer. */
+  /** A question that waits for changes is answered before the store has been silent for longer than this. */
   mostSilence: Ms;
-  /** How long a box that is behind who asks it may read the table itself before it answers: less than the asker's patience. */
+  /** How long a box that is behind the asker may wait to catch up before it answers; less than the asker's time limit. */
   catchUpWait: Ms;
 }>;
 
-/** Answers from the mirror of the table. */
 export const answerTable = async (
   { mirrors, pulse, mostSilence, catchUpWait }: AnswerSources,
   question: TableQuestion,
 ): Promise<TableAnswer> => {
   const mirror = mirrors.get(question.table);
-  // A box that has heard nothing yet has no age to tell.
+  // Before the first read of the pulse table, the silence of the store is unknown.
   if (!mirror || pulse.readWhole().err) return { kind: "not_known" };
   if (question.kind === "whole") {
     await mirror.awaitRevision({ atLeast: question.atLeast, wait: catchUpWait });
--- a/packages/peers/src/boxRestoreRules.ts
+++ b/packages/peers/src/boxRestoreRules.ts
@@ -1,14 +1,14 @@
-/** What counts of the boxes' rows when the store comes back from a copy. */
+/** How the rows of boxes are handled when the store is restored from a backup that lacks some of them. */
 import type { BoxName, Ms } from "@stairgauge/common";
 import type { RestoreRules } from "@stairgauge/storefeed";
 
-/** A box that lives has put its lost row again within this time. */
-const REJOINED_WITHIN_MS = 10_000 as Ms;
+/** A live box has written its lost row again within this time. */
+const MAX_REJOIN_MS = 10_000 as Ms;
 
-/** Creates the rules of the boxes' table; a box misses its own row at once, and puts it again. */
+/** Creates the rules. A box drops its own missing row at once, so that it notices the loss and writes the row again. */
 export const createBoxRestoreRules = (own: BoxName): RestoreRules => ({
   isUndone: () => false,
   resolveMissing: ({ key }) =>
-    key === own ? { kind: "drop" } : { kind: "keep_for", duration: REJOINED_WITHIN_MS },
+    key === own ? { kind: "drop" } : { kind: "keep_for", duration: MAX_REJOIN_MS },
   resolveDropped: () => ({ kind: "take" }),
 });
--- a/packages/peers/src/hubAsker.ts
+++ b/packages/peers/src/hubAsker.ts
@@ -1,54 +1,54 @@
 /**
- * Asks the hub that all boxes ask first. What it answers is advice: a box that gets none in time decides by what it knows
- * itself, and asks the next hub for a while.
+ * Sends questions to the first hub, which all boxes ask. The answer is advice: a box that gets none in time decides from its
+ * own state, and asks the next hub for a while.
  */
 import type { BoxName, Clock, Ms } from "@stairgauge/common";
-import type { Asking, PeerLinks } from "./peerLinks.js";
+import type { PeerCall, PeerLinks } from "./peerLinks.js";
 
-/** What asking needs. */
+/** Options of a hub asker. */
 export type HubAskerOptions = Readonly<{
   clock: Clock;
   links: Pick<PeerLinks, "isHub" | "listHubs" | "listUp">;
-  /** A hub did not answer in time, and is passed over for a while. */
+  /** A hub did not answer in time, and is not asked for a while. */
   onPassedOver: (box: BoxName) => void;
 }>;
 
-/** One question, with the call that asks it. */
+/** A question, and the call that sends it. */
 export type HubQuestion<Question, Answer> = Readonly<{
-  call: Asking<Question, Answer>;
+  call: PeerCall<Question, Answer>;
   question: Question;
-  /** How long the answer may take. */
+  /** Time limit of the answer. */
   limit: Ms;
   signal: AbortSignal;
 }>;
 
-/** An answer and who gave it. */
+/** An answer, and the hub that gave it. */
 export type HubAnswer<Answer> = Readonly<{ answer: Answer; by: BoxName }>;
 
-/** Asks hubs. */
+/** Sends questions to the first hub. */
 export type HubAsker = Readonly<{
-  /** Whether others see more than this box: it is no hub, and one can be asked. */
+  /** Whether a hub has more complete data than this box: the box is no hub itself, and a hub can be asked. */
   isNeeded: () => boolean;
-  /** The first hub's answer, or none. */
+  /** Resolves to the hub's answer, or undefined if there is none in time. */
   ask: <Question, Answer>(
     question: HubQuestion<Question, Answer>,
   ) => Promise<HubAnswer<Answer> | undefined>;
 }>;
 
-/** How long a hub that gave no answer is passed over. */
-const PASSED_OVER_MS = 3_000;
+/** How long a hub that gave no answer is not asked. */
+const EJECTION_MS = 3_000;
 
-/** Creates the asker. */
+/** Creates a hub asker. */
 export const createHubAsker = (options: HubAskerOptions): HubAsker => {
   const { clock, links, onPassedOver } = options;
-  const passedOverUntil = new Map<BoxName, number>();
+  const ejectedUntil = new Map<BoxName, number>();
 
-  const isTrusted = (box: BoxName) =>
-    (passedOverUntil.get(box) ?? -Infinity) <= clock.monotonic();
+  const isUsable = (box: BoxName) =>
+    (ejectedUntil.get(box) ?? -Infinity) <= clock.monotonic();
   const findHub = () => {
     if (links.isHub()) return undefined;
     const up = new Set(links.listUp().map(({ box }) => box));
-    return links.listHubs().find((box) => up.has(box) && isTrusted(box));
+    return links.listHubs().find((box) => up.has(box) && isUsable(box));
   };
 
   return {
@@ -56,16 +56,16 @@
     ask: async ({ call, question, limit, signal }) => {
       const hub = findHub();
       if (hub === undefined) return undefined;
-      const within = new AbortController();
+      const timeout = new AbortController();
       const askedAt = clock.monotonic();
-      const timer = clock.setTimer(limit, () => within.abort());
-      const read = await call(hub, question, AbortSignal.any([signal, within.signal]));
+      const timer = clock.setTimer(limit, () => timeout.abort());
+      const read = await call(hub, question, AbortSignal.any([signal, timeout.signal]));
       timer.cancel();
-      // A process that was held up finds an answer that is too old to act on: its part of a bound is others' by now.
+      // After this process was suspended, the answer may be too old to use: others have since taken its share of a limit.
       const isLate = clock.monotonic() - askedAt > limit;
       if (read.ok && !isLate) return { answer: read.val, by: hub };
-      if (signal.aborted || !isTrusted(hub)) return undefined;
-      passedOverUntil.set(hub, clock.monotonic() + PASSED_OVER_MS);
+      if (signal.aborted || !isUsable(hub)) return undefined;
+      ejectedUntil.set(hub, clock.monotonic() + EJECTION_MS);
       onPassedOver(hub);
       return undefined;
     },
--- a/packages/peers/src/hubs.test.ts
+++ b/packages/peers/src/hubs.test.ts
@@ -1,4 +1,4 @@
-/** Links that do not grow with the boxes, and the same hubs for all, whoever is out of reach. */
+/** The number of links stays limited at large sites, and all boxes choose the same hubs, whichever boxes are unreachable. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { BoxName, DataHallName } from "@stairgauge/common";
@@ -14,7 +14,7 @@
 
 const isNone = () => false;
 
-/** Links of every box when those named cannot be reached by anybody. */
+/** Links of every box when no box can reach the lost ones. */
 const chooseAllLinks = (members: readonly Member[], lost: ReadonlySet<BoxName>) => {
   const ranked = rankByCapacity(members);
   const isFailing = (box: BoxName) => lost.has(box);
@@ -33,12 +33,12 @@
     [195, 5],
     [473, 12],
     [1_000, 16],
-  ])("of %i boxes makes %i hubs", (boxes, hubs) => {
+  ])("returns for %i boxes %i hubs", (boxes, hubs) => {
     expect(countHubs(boxes)).toBe(hubs);
   });
 });
 
-describe("rankCarriers", () => {
+describe("rankByCapacity", () => {
   const HALLS = ["a", "b", "c", "d"] as const;
   const placeInHalls = (members: readonly Member[], names: readonly string[]) =>
     members.map((member, i) => ({
@@ -46,7 +46,7 @@
       dataHall: names[Math.floor(i / 3) % names.length] as DataHallName,
     }));
 
-  it("takes a box of each data hall first, so that the loss of a hall leaves hubs and boxes that hear the store (property)", () => {
+  it("ranks a box of each data hall first, so that the loss of a hall leaves hubs and store readers (property)", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 13, max: 300 }),
@@ -62,12 +62,12 @@
     );
   });
 
-  it("orders all boxes alike whatever the order in which they are listed", () => {
+  it("returns the same order for members listed in another order", () => {
     const members = placeInHalls(makeMembers(64), HALLS);
     expect(rankByCapacity(members.toReversed())).toEqual(rankByCapacity(members));
   });
 
-  it("puts no weak box before a strong one for the sake of its data hall", () => {
+  it("ranks no weak box before a strong one of another data hall", () => {
     const weakHall = makeMembers(12).map((member, i) => ({
       ...member,
       capacity: i < 4 ? 7 : 100,
@@ -83,13 +83,13 @@
 });
 
 describe("chooseLinks", () => {
-  it("links every box to every other where they are few", () => {
+  it("links every box to every other at a small site", () => {
     for (const links of chooseAllLinks(makeMembers(6), new Set()))
       expect(links).toHaveLength(5);
   });
 
   it.each([66, 195, 473, 1_000])(
-    "links each of %i boxes to the same few hubs, none of them weak, and to nobody else",
+    "links each of %i boxes to the same few hubs, none of them weak, and to no other box",
     (count) => {
       const members = makeMembers(count);
       const linked = chooseAllLinks(members, new Set());
@@ -103,17 +103,17 @@
     },
   );
 
-  it("leaves every box that lives in reach of the same hubs when others are lost (property)", () => {
+  it("lets all remaining boxes reach the same hubs when others are lost (property)", () => {
     const members = makeMembers(66);
     const boxes = members.map(({ box }) => box);
     fc.assert(
-      fc.property(fc.subarray(boxes, { maxLength: 40 }), (gone) => {
-        const lost = new Set(gone);
+      fc.property(fc.subarray(boxes, { maxLength: 40 }), (lostBoxes) => {
+        const lost = new Set(lostBoxes);
         const ranked = rankByCapacity(members);
-        const living = members.filter(({ box }) => !lost.has(box));
-        // Far down the order more links are needed than a box may hold: those it avoids make room.
+        const remaining = members.filter(({ box }) => !lost.has(box));
+        // With many lost boxes, more links are needed than a box may open; avoided boxes free their links.
         const isAvoided = (box: BoxName) => lost.has(box);
-        const views = living.map((own) => {
+        const views = remaining.map((own) => {
           const links = chooseLinks({
             own: own.box,
             ranked,
@@ -121,17 +121,17 @@
             isAvoided,
           });
           expect(links.length).toBeLessThanOrEqual(MAX_LINKS);
-          const reached = living.filter(({ box }) => links.includes(box));
+          const reached = remaining.filter(({ box }) => links.includes(box));
           return listHubs([own, ...reached], members.length).join();
         });
-        const hubs = rankByCapacity(living).slice(0, countHubs(members.length)).join();
+        const hubs = rankByCapacity(remaining).slice(0, countHubs(members.length)).join();
         expect(new Set(views)).toEqual(new Set([hubs]));
       }),
       { seed: 5, numRuns: 100 },
     );
   });
 
-  it("keeps a failing link and takes the next box beside it", () => {
+  it("keeps a failing link and links to the next box in addition", () => {
     const members = makeMembers(66);
     const ranked = rankByCapacity(members);
     const own = ranked.at(-1)!;
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,10 +1,10 @@
-/** Boxes that tell each other what they have placed where. */
+/** Communication between boxes: placed runs, leaving servers, limits, crashes and tables of the store. */
 export type * from "./types.js";
 export { applyUpdate } from "./applyUpdate.js";
 export type { AnswerSources } from "./answerTable.js";
 export { answerTable } from "./answerTable.js";
 export { createSharedReader } from "./sharedReader.js";
-export type { DistrustReason, SharedReaderOptions } from "./sharedReader.js";
+export type { EjectionReason, SharedReaderOptions } from "./sharedReader.js";
 export { createBoxRestoreRules } from "./boxRestoreRules.js";
 export { createMembership } from "./membership.js";
 export type { Membership, MembershipOptions } from "./membership.js";
@@ -15,11 +15,8 @@
 export type { PeerServer, PeerServerOptions } from "./peerServer.js";
 export { createWatchShares } from "./watchShares.js";
 export type { WatchShares } from "./watchShares.js";
-export { createRunReporter as createRunTeller } from "./runReporter.js";
-export type {
-  RunReporter as RunTeller,
-  RunReporterOptions as RunTellerOptions,
-} from "./runReporter.js";
+export { createRunReporter } from "./runReporter.js";
+export type { RunReporter, RunReporterOptions } from "./runReporter.js";
 export { hasHubs } from "./hubs.js";
 export { createHubAsker } from "./hubAsker.js";
 export type { HubAsker, HubAskerOptions } from "./hubAsker.js";
--- a/packages/peers/src/memberSink.test.ts
+++ b/packages/peers/src/memberSink.test.ts
@@ -1,4 +1,4 @@
-/** Rows of the boxes' table: any process may write one, and a row that names no box that can be called must cost nothing but itself. */
+/** Any process may write a row of the table of boxes. An unusable row must affect nothing but itself. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { BoxName, DataHallName } from "@stairgauge/common";
@@ -14,7 +14,7 @@
 const encode = (value: unknown) => Buffer.from(JSON.stringify(value));
 
 describe("decodeMember", () => {
-  it("gives back what a box wrote of itself", () => {
+  it("decodes the row that a box has encoded", () => {
     expect(decodeMember("box-1", encodeMember(PEER)).unwrap()).toEqual(PEER);
   });
 
@@ -27,11 +27,11 @@
     { host: "10.0.0.1", port: 80, hall: 7 },
     { port: 80 },
     [],
-  ])("finds no box in %j", (value) => {
+  ])("rejects %j", (value) => {
     expect(decodeMember("box-1", encode(value)).err).toBe(true);
   });
 
-  it("gives a typed failure for any other bytes, and never throws (property)", () => {
+  it("returns a typed failure for invalid bytes, and never throws (property)", () => {
     fc.assert(
       fc.property(
         fc.oneof(
--- a/packages/peers/src/memberSink.ts
+++ b/packages/peers/src/memberSink.ts
@@ -1,4 +1,4 @@
-/** The boxes that take part, from their rows in the platform's store. */
+/** Reads the boxes from their rows in the platform's store. */
 import {
   Err,
   Ok,
@@ -19,16 +19,16 @@
   hall: z.string().optional(),
 });
 
-/** Why a row names no box. */
+/** A row that does not describe a box. */
 export type MemberFailure = Readonly<{ kind: "unreadable_member"; key: string }>;
 
-/** Encodes a box's own row. */
+/** Encodes the row of a box. */
 export const encodeMember = ({ address, capacity, dataHall }: Peer): Buffer =>
   Buffer.from(
     JSON.stringify({ host: address.host, port: address.port, capacity, hall: dataHall }),
   );
 
-/** Decodes another box's row. */
+/** Decodes the row of a box. */
 export const decodeMember = (key: string, value: Buffer): Result<Peer, MemberFailure> => {
   try {
     const { capacity, hall, ...address } = memberSchema.parse(
@@ -41,13 +41,14 @@
   }
 };
 
-/** What is told while following. */
+/** Options of a member sink. */
 export type MemberSinkOptions = Readonly<{
+  /** Called with all boxes after each change of the table. */
   onMembers: (members: readonly Peer[]) => void;
   onUnreadable: (failure: MemberFailure) => void;
 }>;
 
-/** Creates the sink for a follower of the boxes' table. */
+/** Creates the sink for a follower of the table of boxes. */
 export const createMemberSink = (options: MemberSinkOptions): FollowerSink => {
   const members = new Map<string, Peer>();
   const put = (row: StoredRow) => {
@@ -55,20 +56,20 @@
     if (decoded.ok) members.set(row.key, decoded.val);
     else options.onUnreadable(decoded.val);
   };
-  const tellMembers = () => options.onMembers([...members.values()]);
+  const emitMembers = () => options.onMembers([...members.values()]);
 
   return {
     onWhole: (rows) => {
       members.clear();
       for (const row of rows) put(row);
-      tellMembers();
+      emitMembers();
     },
     onChanges: (changes) => {
       for (const change of changes) {
         if (change.kind === "put") put(change.row);
         else members.delete(change.key);
       }
-      if (changes.length > 0) tellMembers();
+      if (changes.length > 0) emitMembers();
     },
     onFailure: () => undefined,
     onRegained: () => undefined,
--- a/packages/peers/src/membership.ts
+++ b/packages/peers/src/membership.ts
@@ -1,37 +1,37 @@
-/** Puts this box's row into the store, and takes the rows of the others from it. */
+/** Writes this box's row to the table of boxes in the store, and reads the rows of the others. */
 import type { Clock, Ms, Random } from "@stairgauge/common";
 import type { FollowerSink, StoreWriteFailure, StoreWriter } from "@stairgauge/storefeed";
 import { createMemberSink, encodeMember, type MemberFailure } from "./memberSink.js";
 import type { Peer } from "./types.js";
 
-/** What membership needs. */
+/** Options of a membership. */
 export type MembershipOptions = Readonly<{
   clock: Clock;
   random: Random;
   writer: StoreWriter;
   table: string;
-  /** This box, once it listens for others. */
+  /** This box; called only once it accepts calls of others. */
   getOwn: () => Peer;
-  /** How long a write may take. */
+  /** Time limit of a write. */
   limit: Ms;
   onPeers: (peers: readonly Peer[]) => void;
   onFailure: (failure: StoreWriteFailure | MemberFailure) => void;
 }>;
 
-/** One box's part in the list of boxes. */
+/** The membership of one box in the table of boxes. */
 export type Membership = Readonly<{
-  /** For the follower of the boxes' table. */
+  /** For the follower of the table. */
   sink: FollowerSink;
-  /** Puts the own row, until it is seen there. */
+  /** Writes the own row, and repeats that until the row is seen in the table. */
   join: () => void;
-  /** Drops the own row; other boxes then stop telling this one. */
+  /** Drops the own row; other boxes then stop sending to this one. */
   leave: () => Promise<void>;
 }>;
 
-/** Pause before the own row is put again. */
+/** Pause before the own row is written again. */
 const JOIN_PAUSE_MS = 2_000 as Ms;
 
-/** Boxes whose rows are lost together put them again spread over so much time for each. */
+/** When the rows of many boxes are lost together, the boxes write them again spread over this time per box. */
 const REJOIN_SPREAD_MS = 10;
 
 /** Creates the membership of one box. */
--- a/packages/peers/src/peerLink.ts
+++ b/packages/peers/src/peerLink.ts
@@ -1,4 +1,4 @@
-/** One link of a box to another: its channel, and the stream of updates that it keeps open. */
+/** A link from one box to another: a gRPC channel, and the stream of updates that is kept open on it. */
 import {
   Client,
   connectivityState,
@@ -9,31 +9,32 @@
 import type { PeerService } from "./service.js";
 import type { HubNotice, Peer, RunUpdate } from "./types.js";
 
-/** What a link needs. */
+/** Options of a link. */
 export type PeerLinkOptions = Readonly<{
   clock: Clock;
   random: Random;
   service: PeerService;
-  /** The whole state, for a stream that has just been opened. */
+  /** The whole state, sent first on each new stream. */
   makeWhole: () => RunUpdate;
   onNotice: (notice: HubNotice, by: BoxName) => void;
 }>;
 
-/** A link. */
+/** A link to one box. */
 export type PeerLink = Readonly<{
   peer: Peer;
-  /** For calls that are answered once. */
+  /** For unary calls. */
   client: Client;
   isUp: () => boolean;
+  /** Sends an update; dropped without a stream, as a new stream begins with the whole state. */
   write: (update: RunUpdate) => void;
   close: () => void;
 }>;
 
-/** Pauses between tries at a box that cannot be reached. */
+/** The pause between attempts to open a stream doubles from the first to the maximum. */
 const FIRST_PAUSE_MS = 300;
 const MAX_PAUSE_MS = 5_000;
 
-/** A link is probed this often when nothing is said, so that a half-open one is found. */
+/** An idle link is probed this often, so that a half-open connection is detected. */
 const LINK_OPTIONS = {
   "grpc.keepalive_time_ms": 5_000,
   "grpc.keepalive_timeout_ms": 1_500,
@@ -42,13 +43,13 @@
   "grpc.enable_retries": 0,
 } as const;
 
-/** Updates that may wait for a slow peer before its stream is opened anew. */
+/** Bytes that may be buffered for a slow peer before its stream is cancelled and opened anew. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Opens a link; its stream is opened again, with the whole state, whenever it ends. */
+/** Opens a link. Whenever its stream ends, it is opened anew and begins with the whole state. */
 export const openPeerLink = (peer: Peer, options: PeerLinkOptions): PeerLink => {
   const { clock, random, makeWhole, onNotice } = options;
-  const { tellRuns } = options.service;
+  const { reportRuns } = options.service;
   const { host, port } = peer.address;
   const client = new Client(
     `${host}:${port}`,
@@ -70,16 +71,16 @@
 
   const openStream = () => {
     const opened = client.makeBidiStreamRequest(
-      tellRuns.path,
-      tellRuns.requestSerialize,
-      tellRuns.responseDeserialize,
+      reportRuns.path,
+      reportRuns.requestSerialize,
+      reportRuns.responseDeserialize,
     );
     stream = opened;
     opened.on("metadata", () => {
       pause = FIRST_PAUSE_MS;
     });
     opened.on("data", (notice: HubNotice) => onNotice(notice, peer.box));
-    // Told again with the status, by which the stream is opened anew.
+    // The status event follows; it opens the stream anew.
     opened.on("error", () => undefined);
     opened.on("status", () => {
       if (stream !== opened) return;
--- a/packages/peers/src/peerLinks.ts
+++ b/packages/peers/src/peerLinks.ts
@@ -1,4 +1,4 @@
-/** The links of one box to others: to all of them where they are few, to the hubs where there are many. */
+/** The links of one box to others: to all of them at a small site, to the hubs at a large one. */
 import {
   Err,
   Ok,
@@ -28,57 +28,58 @@
   TableQuestion,
 } from "./types.js";
 
-/** What the links need. */
+/** Options of the links. */
 export type PeerLinksOptions = Readonly<{
   clock: Clock;
   random: Random;
   own: Member;
   /** The whole state, for a link that has just come up. */
   makeWhole: () => RunUpdate;
-  /** A hub has told this box something. */
+  /** A hub has sent a notice to this box. */
   onNotice: (notice: HubNotice, by: BoxName) => void;
   onMessage: (message: PeerMessage) => void;
 }>;
 
 /** The links of one box. */
 export type PeerLinks = Readonly<{
-  /** Links to boxes known by address only, until the list of boxes names others. */
+  /** Opens links to boxes known by address only; they last until a list of boxes is set. */
   setSeeds: (addresses: readonly ServerAddress[]) => void;
-  /** Takes the list of all boxes; links to those that are gone are closed. */
+  /** Sets the list of all boxes; links to boxes that are gone are closed. An empty list is ignored. */
   setPeers: (peers: readonly Peer[]) => void;
-  /** Hands an update to all links that are up. */
+  /** Sends an update over all links that are up. */
   tell: (update: RunUpdate) => void;
-  /** Tells a few boxes chosen at random, so that what all pass on costs no more than a few calls a box. */
+  /** Sends to a few boxes chosen at random, so that an update that all pass on costs only a few calls per box. */
   tellSome: (update: RunUpdate) => void;
-  /** Asks one box for a table; gives up when the signal says so. */
-  ask: Asking<TableQuestion, TableAnswer>;
-  askPlace: Asking<PlaceQuestion, PlaceAnswer>;
-  askMoves: Asking<MovesQuestion, MovesAnswer>;
-  /** Opens the link to a box anew: its connection no longer brings answers. */
+  /** Asks one box for a table; the call is cancelled when the signal aborts. */
+  ask: PeerCall<TableQuestion, TableAnswer>;
+  askPlace: PeerCall<PlaceQuestion, PlaceAnswer>;
+  askMoves: PeerCall<MovesQuestion, MovesAnswer>;
+  /** Closes the link to a box and opens a new one, since its connection no longer brings answers. */
   renew: (box: BoxName) => void;
-  /** Boxes whose link stands. */
+  /** Boxes whose link is up. */
   listUp: () => readonly Member[];
-  /** Those, and the ones whose link may stand any moment: whoever counts them out does their work beside them. */
+  /** Boxes whose link is up or was until a moment ago; to leave the latter out would be to do their work a second time. */
   listReachable: () => readonly Member[];
-  /** The hubs as this box sees them, which may be one itself; alone, it is. */
+  /** The hubs as this box sees them. It may be one itself, and is the only one when it is alone. */
   listHubs: () => readonly BoxName[];
   isHub: () => boolean;
-  /** This box's place in the list of all boxes, which all of them order alike; undefined before the list is read. */
+  /** Rank of this box in the list of all boxes, which every box sorts alike; undefined before the list is read. */
   findPlace: () => Readonly<{ rank: number; boxes: number }> | undefined;
-  /** All boxes known, this one included. */
+  /** Number of known boxes, this one included. */
   countBoxes: () => number;
+  /** Number of links. */
   count: () => number;
   close: () => void;
 }>;
 
-/** A call to one box. */
-export type Asking<Question, Answer> = (
+/** A unary call to one box. */
+export type PeerCall<Question, Answer> = (
   box: BoxName,
   question: Question,
   signal: AbortSignal,
 ) => Promise<Result<Answer, AskFailure>>;
 
-/** How one kind of question goes over the wire. */
+/** The path and the codec of one kind of question. */
 type Method<Question, Answer> = Readonly<{
   path: string;
   requestSerialize: (question: Question) => Buffer;
@@ -86,23 +87,23 @@
 }>;
 
 type Link = PeerLink & {
-  /** Since when it has not been up; undefined while it is. */
+  /** Monotonic time since which the link is down; undefined while it is up. */
   downSince: number | undefined;
 };
 
-/** Boxes that one box passes a thing on to: with 3 each, all but one in a thousand hear it. */
+/** Boxes that each box passes an update on to: with 3, all but one in a thousand boxes receive it. */
 const FAN_OUT = 3;
 
-/** How often links are looked through for those that have failed. */
-const REVIEW_MS = 500 as Ms;
+/** Interval at which the links are checked for failed ones. */
+const CHECK_MS = 500 as Ms;
 
-/** A link that has been down this long is failing: a box that starts anew is back in about a second. */
+/** A link that has been down this long is failing: a box that restarts is back in about a second. */
 const FAILING_AFTER_MS = 1_000;
 
-/** How long a list of the hubs serves: with 100 servers it is asked for 200 times a second, at 16 µs each. */
-const HUBS_LIFE_MS = 100;
+/** How long the list of hubs is cached: with 100 servers it is read 200 times a second, and takes 16 µs to compute. */
+const HUBS_CACHE_MS = 100;
 
-/** With all links taken, a box that has been out of reach this long is not tried for a while, so that others get its place. */
+/** With all links in use, a box unreachable for AVOIDED_AFTER_MS is not linked to for AVOIDED_MS, to free its link. */
 const AVOIDED_AFTER_MS = 6_000;
 const AVOIDED_MS = 15_000;
 
@@ -119,7 +120,7 @@
     at: -Infinity,
     boxes: [],
   };
-  let reviewTimer: Timer | undefined;
+  let checkTimer: Timer | undefined;
   let isClosed = false;
 
   const closeLink = (link: Link) => {
@@ -134,8 +135,8 @@
     return chosen;
   };
 
-  const createAsking =
-    <Question, Answer>(method: Method<Question, Answer>): Asking<Question, Answer> =>
+  const createCall =
+    <Question, Answer>(method: Method<Question, Answer>): PeerCall<Question, Answer> =>
     (box, question, signal) =>
       new Promise((resolve) => {
         const link = links.get(box);
@@ -183,7 +184,7 @@
     const now = clock.monotonic();
     for (const link of links.values())
       link.downSince = link.isUp() ? undefined : (link.downSince ?? now);
-    // With no link up it is this box that is out of reach.
+    // With no link up, this box itself is cut off.
     if (links.size < MAX_LINKS || listUp().length === 0) return;
     const lost = [...links.keys()].filter((box) => isDownFor(box, AVOIDED_AFTER_MS));
     for (const box of lost) avoidedUntil.set(box, now + AVOIDED_MS);
@@ -192,7 +193,7 @@
   const isAvoided = (box: BoxName) =>
     (avoidedUntil.get(box) ?? -Infinity) > clock.monotonic();
 
-  /** Opens the links that are wanted and closes the others. */
+  /** Opens the chosen links that are missing, and closes all others. */
   const setLinks = () => {
     const chosen = new Set(
       chooseLinks({
@@ -212,11 +213,11 @@
     }
   };
 
-  const lookAtLinks = () => {
+  const checkLinks = () => {
     if (isClosed) return;
     recordStates();
     setLinks();
-    reviewTimer = clock.setTimer(REVIEW_MS, lookAtLinks);
+    checkTimer = clock.setTimer(CHECK_MS, checkLinks);
   };
 
   const listReachable = () =>
@@ -226,7 +227,7 @@
   const countBoxes = () => Math.max(1, ranked.length);
   const findHubs = (): readonly BoxName[] => {
     const now = clock.monotonic();
-    if (now - hubs.at >= HUBS_LIFE_MS)
+    if (now - hubs.at >= HUBS_CACHE_MS)
       hubs = { at: now, boxes: listHubs([own, ...listReachable()], countBoxes()) };
     return hubs.boxes;
   };
@@ -236,14 +237,14 @@
       for (const peer of addresses.map(toSeed)) if (!links.has(peer.box)) openLink(peer);
     },
     setPeers: (peers) => {
-      // An empty list is that of a store that has just begun: the seeds stay.
+      // A new store has an empty list of boxes; the links to the seeds stay.
       if (peers.length === 0) return;
       peersByBox = new Map(peers.map((peer) => [peer.box, peer]));
       const others = peers.filter(({ box }) => box !== own.box);
       ranked = rankByCapacity([own, ...others]);
       setLinks();
       hubs = { at: -Infinity, boxes: [] };
-      if (!reviewTimer) lookAtLinks();
+      if (!checkTimer) checkLinks();
     },
     tell: (update) => {
       for (const link of links.values()) link.write(update);
@@ -251,9 +252,9 @@
     tellSome: (update) => {
       for (const link of chooseSome([...links.values()])) link.write(update);
     },
-    ask: createAsking(service.askTable),
-    askPlace: createAsking(service.askPlace),
-    askMoves: createAsking(service.askMoves),
+    ask: createCall(service.askTable),
+    askPlace: createCall(service.askPlace),
+    askMoves: createCall(service.askMoves),
     renew: (box) => {
       const link = links.get(box);
       if (!link) return;
@@ -272,7 +273,7 @@
     count: () => links.size,
     close: () => {
       isClosed = true;
-      reviewTimer?.cancel();
+      checkTimer?.cancel();
       for (const link of [...links.values()]) closeLink(link);
     },
   };
--- a/packages/peers/src/peerServer.ts
+++ b/packages/peers/src/peerServer.ts
@@ -1,4 +1,4 @@
-/** Takes the updates of other boxes. */
+/** Serves the calls of other boxes: receives their updates, and answers their questions. */
 import {
   Metadata,
   Server,
@@ -10,7 +10,7 @@
 } from "@grpc/grpc-js";
 import type { BoxName } from "@stairgauge/common";
 import type { ServerAddress } from "@stairgauge/directory";
-import { hasNews } from "./makeNotice.js";
+import { hasContent } from "./makeNotice.js";
 import { createPeerService, type PeerMessage } from "./service.js";
 import type {
   HubNotice,
@@ -23,18 +23,18 @@
   TableQuestion,
 } from "./types.js";
 
-/** What is done with updates. */
+/** Handlers of a peer server. */
 export type PeerServerOptions = Readonly<{
   onUpdate: (update: RunUpdate) => void;
-  /** What a box is told whose stream has just come up. */
+  /** The first notice to a box whose stream has just been opened. */
   makeGreeting: (box: BoxName) => HubNotice;
-  /** A box's stream has ended: what it told is no longer kept up. */
+  /** The stream of a box has ended: the state that it sent is no longer updated. */
   onPeerLost: (box: BoxName) => void;
   /** Another box asks for a table. */
   answerTable: Answerer<TableQuestion, TableAnswer>;
-  /** Another box asks where a run should go; it has left when the signal says so. */
+  /** Another box asks where a run should go; the signal aborts when that box has cancelled the call. */
   answerPlace: Answerer<PlaceQuestion, PlaceAnswer>;
-  /** Another box asks for what leaves an engine and where to. */
+  /** Another box asks which runs leave an engine, and where to. */
   answerMoves: Answerer<MovesQuestion, MovesAnswer>;
   onMessage: (message: PeerMessage) => void;
 }>;
@@ -44,33 +44,34 @@
   signal: AbortSignal,
 ) => Promise<Answer>;
 
-/** The listener for other boxes. */
+/** The server for calls of other boxes. */
 export type PeerServer = Readonly<{
+  /** Resolves to the port that it listens at. */
   listen: (address: ServerAddress) => Promise<number>;
-  /** Tells the boxes named, as far as their streams stand. */
+  /** Sends a notice to those of the boxes whose streams are open. */
   notify: (boxes: readonly BoxName[], notice: HubNotice) => void;
-  /** Tells all boxes whose streams stand. */
+  /** Sends a notice to all boxes whose streams are open. */
   notifyAll: (notice: HubNotice) => void;
   close: () => void;
 }>;
 
 type UpdateStream = ServerDuplexStream<RunUpdate, HubNotice>;
 
-/** A box whose link is half open is found, and what it told forgotten, as soon as it finds so itself. */
+/** A half-open connection is detected here as soon as at the other box; the state that the box sent is then dropped. */
 const SERVER_OPTIONS = {
   "grpc.keepalive_time_ms": 5_000,
   "grpc.keepalive_timeout_ms": 1_500,
 } as const;
 
-/** Creates the listener. */
+/** Creates a peer server. */
 export const createPeerServer = (options: PeerServerOptions): PeerServer => {
   const server = new Server(SERVER_OPTIONS);
-  /** The stream that counts for a box: a box that came back opens another. */
+  /** The current stream of each box; a box that reconnects opens another one. */
   const streams = new Map<BoxName, UpdateStream>();
 
   const sendGreeting = (box: BoxName, stream: UpdateStream) => {
     const greeting = options.makeGreeting(box);
-    if (hasNews(greeting)) stream.write(greeting);
+    if (hasContent(greeting)) stream.write(greeting);
   };
 
   const handleStream = (stream: UpdateStream) => {
@@ -93,21 +94,21 @@
     stream.on("end", loseBox);
     stream.on("cancelled", loseBox);
   };
-  const handleBy =
+  const createHandler =
     <Question, Answer>(answerQuestion: Answerer<Question, Answer>) =>
     (call: ServerUnaryCall<Question, Answer>, send: sendUnaryData<Answer>) => {
-      const left = new AbortController();
-      call.on("cancelled", () => left.abort());
-      answerQuestion(call.request, left.signal).then(
+      const cancellation = new AbortController();
+      call.on("cancelled", () => cancellation.abort());
+      answerQuestion(call.request, cancellation.signal).then(
         (answer) => send(null, answer),
         (error: unknown) => send({ code: status.INTERNAL, details: String(error) }),
       );
     };
   server.addService(createPeerService(options.onMessage), {
-    tellRuns: handleStream,
-    askTable: handleBy(options.answerTable),
-    askPlace: handleBy(options.answerPlace),
-    askMoves: handleBy(options.answerMoves),
+    reportRuns: handleStream,
+    askTable: createHandler(options.answerTable),
+    askPlace: createHandler(options.answerPlace),
+    askMoves: createHandler(options.answerMoves),
   });
 
   return {
--- a/packages/peers/src/peers.test.ts
+++ b/packages/peers/src/peers.test.ts
@@ -12,23 +12,31 @@
   type Ms,
   type ServiceName,
 } from "@stairgauge/common";
-import { NO_CRASH_NEWS, type CrashUpdate, type RequestDigest } from "@stairgauge/crashes";
+import {
+  NO_CRASH_UPDATE,
+  type CrashUpdate,
+  type RequestDigest,
+} from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
 import type { LimitUpdate } from "@stairgauge/limits";
 import {
-  BEFORE_ALL,
+  INITIAL_REVISION,
   createTableMirror,
   makeRevision,
   type TableMirror,
 } from "@stairgauge/storefeed";
-import { createLoadBook, type EngineReport, type PlacedRun } from "@stairgauge/placement";
+import {
+  createLoadRegistry,
+  type EngineReport,
+  type PlacedRun,
+} from "@stairgauge/placement";
 import {
   answerTable,
   applyUpdate,
   createMembership,
   createPeerLinks,
   createPeerServer,
-  createRunTeller,
+  createRunReporter,
   createWatchShares,
   makeNotice,
   type HubNotice,
@@ -77,9 +85,9 @@
 
 const MAX_SILENCE = 1_000 as Ms;
 
-const closers: (() => void)[] = [];
+const cleanups: (() => void)[] = [];
 afterEach(() => {
-  for (const close of closers.splice(0)) close();
+  for (const close of cleanups.splice(0)) close();
 });
 
 /** Waits for the condition; the test's own time limit ends it. */
@@ -87,17 +95,17 @@
   while (!isMet()) await new Promise((resolve) => setTimeout(resolve, 5));
 };
 
-const openListener = async (greeting: CrashUpdate = NO_CRASH_NEWS) => {
-  const book = createLoadBook();
+const openServer = async (initialCrashes: CrashUpdate = NO_CRASH_UPDATE) => {
+  const book = createLoadRegistry();
   const lost: string[] = [];
   const leaving: SharedLeaving[] = [];
   const reports: SharedReport[] = [];
   const outcomes: string[] = [];
   const places: PlaceQuestion[] = [];
-  const withdrawn: string[] = [];
+  const cancelled: string[] = [];
   const messages: PeerMessage[] = [];
   const crashes: CrashUpdate[] = [];
-  const limits: Readonly<{ news: LimitUpdate; by: BoxName }>[] = [];
+  const limits: Readonly<{ update: LimitUpdate; by: BoxName }>[] = [];
   const mirrors = new Map<string, TableMirror>();
   const pulse = createTableMirror(createSystemClock());
   const server = createPeerServer({
@@ -105,16 +113,16 @@
       applyUpdate(
         {
           book,
-          onLeaving: (told) => leaving.push(told),
-          onReport: (told) => reports.push(told),
+          onLeaving: (shared) => leaving.push(shared),
+          onReport: (shared) => reports.push(shared),
           onBroken: (broken) => outcomes.push(`broken ${broken}`),
           onAnswered: (answered) => outcomes.push(`answered ${answered}`),
-          onCrashes: (news) => crashes.push(news),
-          onLimits: (news, by) => limits.push({ news, by }),
+          onCrashes: (update) => crashes.push(update),
+          onLimits: (update, by) => limits.push({ update, by }),
         },
         update,
       ),
-    makeGreeting: () => makeNotice({ crashes: greeting }),
+    makeGreeting: () => makeNotice({ crashes: initialCrashes }),
     onPeerLost: (box) => {
       lost.push(box);
       book.dropPeer(box);
@@ -126,7 +134,7 @@
       ),
     answerPlace: (question, signal) => {
       places.push(question);
-      signal.addEventListener("abort", () => withdrawn.push(question.run.id));
+      signal.addEventListener("abort", () => cancelled.push(question.run.id));
       if (question.urgency.kind === "within") return new Promise(() => undefined);
       return Promise.resolve({ kind: "no_room", memoryAfter: 1.2 } as const);
     },
@@ -134,7 +142,7 @@
     onMessage: (message) => messages.push(message),
   });
   const port = await server.listen({ host: "127.0.0.1", port: 0 });
-  closers.push(server.close);
+  cleanups.push(server.close);
   return {
     book,
     lost,
@@ -146,7 +154,7 @@
     reports,
     outcomes,
     places,
-    withdrawn,
+    cancelled,
     messages,
     mirrors,
     pulse,
@@ -154,14 +162,14 @@
   };
 };
 
-const openTeller = () => {
+const openReporter = () => {
   const clock = createSystemClock();
   const own = "a" as BoxName;
   const leaving: SharedLeaving[] = [];
   const notices: HubNotice[] = [];
-  const tellers: BoxName[] = [];
-  const book = createLoadBook((change) => teller.takeChange(change));
-  const teller = createRunTeller({
+  const senders: BoxName[] = [];
+  const book = createLoadRegistry((change) => reporter.takeChange(change));
+  const reporter = createRunReporter({
     clock,
     own,
     book,
@@ -175,76 +183,76 @@
     clock,
     random: createSeededRandom(1),
     own: toEqualMember(own),
-    makeWhole: teller.makeWhole,
+    makeWhole: reporter.makeWhole,
     onNotice: (notice, by) => {
       notices.push(notice);
-      tellers.push(by);
+      senders.push(by);
     },
     onMessage: () => undefined,
   });
-  closers.push(links.close);
-  return { book, links, teller, leaving, notices, tellers };
+  cleanups.push(links.close);
+  return { book, links, reporter, leaving, notices, senders };
 };
 
-describe("boxes that tell each other their runs", () => {
-  it("tells what is there when a link comes up, then each change, and is forgotten when it closes", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.book.addRun(server, makeRun("before"));
-    here.links.setPeers([there.peer, { ...there.peer, box: "a" as BoxName }]);
-    expect(here.links.count()).toBe(1);
-    await waitFor(() => there.book.listPeerRuns(server).length === 1);
-    here.book.addRun(server, makeRun("after"));
-    await waitFor(() => there.book.listPeerRuns(server).length === 2);
-    here.book.removeRun(server, "before");
-    here.book.markBegun(server, "after");
-    await waitFor(() => there.book.listPeerRuns(server).some((run) => run.hasBegun));
-    expect(there.book.listPeerRuns(server).map(({ id }) => id)).toEqual(["after"]);
-    here.links.close();
-    await waitFor(() => there.lost.length === 1);
-    expect(there.book.listPeerRuns(server)).toEqual([]);
-  });
-
-  it("keeps only the last change of a run that changes twice before it is told", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    here.book.addRun(server, makeRun("short"));
-    here.book.removeRun(server, "short");
-    here.book.addRun(server, makeRun("stays"));
-    await waitFor(() => there.book.listPeerRuns(server).length > 0);
-    expect(there.book.listPeerRuns(server).map(({ id }) => id)).toEqual(["stays"]);
+describe("boxes that report their runs to each other", () => {
+  it("sends all runs when a link comes up, then each change, and its runs are dropped when the link closes", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.book.addRun(server, makeRun("before"));
+    local.links.setPeers([remote.peer, { ...remote.peer, box: "a" as BoxName }]);
+    expect(local.links.count()).toBe(1);
+    await waitFor(() => remote.book.listPeerRuns(server).length === 1);
+    local.book.addRun(server, makeRun("after"));
+    await waitFor(() => remote.book.listPeerRuns(server).length === 2);
+    local.book.removeRun(server, "before");
+    local.book.markBegun(server, "after");
+    await waitFor(() => remote.book.listPeerRuns(server).some((run) => run.hasBegun));
+    expect(remote.book.listPeerRuns(server).map(({ id }) => id)).toEqual(["after"]);
+    local.links.close();
+    await waitFor(() => remote.lost.length === 1);
+    expect(remote.book.listPeerRuns(server)).toEqual([]);
+  });
+
+  it("sends only the last change of a run that changes twice within a batch", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    local.book.addRun(server, makeRun("short"));
+    local.book.removeRun(server, "short");
+    local.book.addRun(server, makeRun("stays"));
+    await waitFor(() => remote.book.listPeerRuns(server).length > 0);
+    expect(remote.book.listPeerRuns(server).map(({ id }) => id)).toEqual(["stays"]);
   });
 });
 
-describe("boxes that tell each other of servers that leave", () => {
-  const told = { server, basis: "concluded" as const };
+describe("boxes that report leaving servers to each other", () => {
+  const sharedLeaving = { server, basis: "concluded" as const };
 
-  it("tells a new link what left before, and then each that leaves", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.leaving.push(told);
-    here.links.setPeers([there.peer]);
-    await waitFor(() => there.leaving.length === 1);
+  it("sends the servers that already leave over a new link, and then each further one", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.leaving.push(sharedLeaving);
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => remote.leaving.length === 1);
     const next = { server: "e2" as ServerId, basis: "entry_gone" as const };
-    here.teller.reportLeaving(next);
-    await waitFor(() => there.leaving.length === 2);
-    expect(there.leaving).toEqual([told, next]);
+    local.reporter.reportLeaving(next);
+    await waitFor(() => remote.leaving.length === 2);
+    expect(remote.leaving).toEqual([sharedLeaving, next]);
   });
 
-  it("tells three boxes of many, none twice", async () => {
-    const listeners = await Promise.all([1, 2, 3, 4, 5, 6].map(() => openListener()));
-    const here = openTeller();
-    here.links.setPeers(
+  it("sends a leaving server to three of many boxes, to none twice", async () => {
+    const listeners = await Promise.all([1, 2, 3, 4, 5, 6].map(() => openServer()));
+    const local = openReporter();
+    local.links.setPeers(
       listeners.map(({ peer }, i) => ({ ...peer, box: `b${i}` as BoxName })),
     );
     const run = makeRun("r");
-    here.book.addRun(server, run);
+    local.book.addRun(server, run);
     await waitFor(() =>
       listeners.every(({ book }) => book.listPeerRuns(server).length === 1),
     );
-    here.teller.reportLeaving(told);
-    here.book.removeRun(server, run.id);
+    local.reporter.reportLeaving(sharedLeaving);
+    local.book.removeRun(server, run.id);
     await waitFor(() =>
       listeners.every(({ book }) => book.listPeerRuns(server).length === 0),
     );
@@ -264,19 +272,19 @@
     urgency,
   });
 
-  it("hear what it says of a place and of moves", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
+  it("receive its answers to questions for a place and for moves", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
     const { signal } = new AbortController();
     const asked = makeQuestion({ kind: "if_room" });
-    const place = await here.links.askPlace(there.peer.box, asked, signal);
+    const place = await local.links.askPlace(remote.peer.box, asked, signal);
     expect(place.val).toEqual({ kind: "no_room", memoryAfter: 1.2 });
-    expect(there.places).toEqual([asked]);
+    expect(remote.places).toEqual([asked]);
     const moves = { server, isFresh: true };
-    const told = await here.links.askMoves(there.peer.box, moves, signal);
-    expect(told.val).toEqual(MOVES);
-    const calls = there.messages.map(({ call, direction }) => `${call} ${direction}`);
+    const planned = await local.links.askMoves(remote.peer.box, moves, signal);
+    expect(planned.val).toEqual(MOVES);
+    const calls = remote.messages.map(({ call, direction }) => `${call} ${direction}`);
     expect(calls.toSorted()).toEqual([
       "ask_moves received",
       "ask_moves sent",
@@ -284,93 +292,93 @@
       "ask_place sent",
       "tell_runs received",
     ]);
-    expect(Math.min(...there.messages.map(({ bytes }) => bytes))).toBeGreaterThan(10);
+    expect(Math.min(...remote.messages.map(({ bytes }) => bytes))).toBeGreaterThan(10);
   });
 
-  it("take a request back that waits there when its client has left", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    const left = new AbortController();
+  it("cancel a waiting question at the hub when the client has disconnected", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    const disconnected = new AbortController();
     const asked = makeQuestion({ kind: "within", wait: 60_000 as Ms });
-    const waiting = here.links.askPlace(there.peer.box, asked, left.signal);
-    await waitFor(() => there.places.length === 1);
-    left.abort();
+    const waiting = local.links.askPlace(remote.peer.box, asked, disconnected.signal);
+    await waitFor(() => remote.places.length === 1);
+    disconnected.abort();
     expect((await waiting).val).toMatchObject({ kind: "failed" });
-    await waitFor(() => there.withdrawn.length === 1);
-  });
-
-  it("tell it of a server that breaks requests off, and that it answers again", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => here.links.listUp().length === 1);
-    here.teller.reportBroken(server);
-    here.book.addRun(server, makeRun("r"));
-    here.book.markBegun(server, "r");
-    await waitFor(() => there.outcomes.length === 2);
-    expect(there.outcomes).toEqual([`broken ${server}`, `answered ${server}`]);
-  });
-
-  it("are told by it of a server that leaves", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.book.addRun(server, makeRun("r"));
-    here.links.setPeers([there.peer]);
-    await waitFor(() => there.book.listPeersAt(server).length === 1);
+    await waitFor(() => remote.cancelled.length === 1);
+  });
+
+  it("report to it that a server breaks off requests, and that the server answers again", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => local.links.listUp().length === 1);
+    local.reporter.reportBroken(server);
+    local.book.addRun(server, makeRun("r"));
+    local.book.markBegun(server, "r");
+    await waitFor(() => remote.outcomes.length === 2);
+    expect(remote.outcomes).toEqual([`broken ${server}`, `answered ${server}`]);
+  });
+
+  it("receive its notice of a leaving server", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.book.addRun(server, makeRun("r"));
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => remote.book.listPeersAt(server).length === 1);
     const notice = makeNotice({ leaving: [{ server, basis: "concluded" as const }] });
-    there.notify(there.book.listPeersAt(server) as BoxName[], notice);
-    await waitFor(() => here.notices.length === 1);
-    expect(here.notices).toEqual([notice]);
-  });
-
-  it("tell all they know of requests that end servers when a link comes up, and then what they see", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => there.crashes.length === 1);
-    here.teller.takeCrashes({ ends: [], served: [DIGEST] });
-    here.teller.takeCrashes(KNOWN_CRASHES);
-    await waitFor(() => there.crashes.length === 2);
+    remote.notify(remote.book.listPeersAt(server) as BoxName[], notice);
+    await waitFor(() => local.notices.length === 1);
+    expect(local.notices).toEqual([notice]);
+  });
+
+  it("send all crashes on record when a link comes up, and then new ones in one update", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => remote.crashes.length === 1);
+    local.reporter.takeCrashes({ ends: [], served: [DIGEST] });
+    local.reporter.takeCrashes(KNOWN_CRASHES);
+    await waitFor(() => remote.crashes.length === 2);
     const both = { ends: KNOWN_CRASHES.ends, served: [DIGEST] };
-    expect(there.crashes).toEqual([KNOWN_CRASHES, both]);
+    expect(remote.crashes).toEqual([KNOWN_CRASHES, both]);
   });
 
-  it("tell all limits they know when a link comes up, and then what they hear, together", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => there.limits.length === 1);
+  it("send all limits on record when a link comes up, and then new ones in one update", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => remote.limits.length === 1);
     const lift = { server, age: 20 as Ms };
-    here.teller.takeLimits({ named: [], lifted: [lift] });
-    here.teller.takeLimits(KNOWN_LIMITS);
-    await waitFor(() => there.limits.length === 2);
+    local.reporter.takeLimits({ named: [], lifted: [lift] });
+    local.reporter.takeLimits(KNOWN_LIMITS);
+    await waitFor(() => remote.limits.length === 2);
     const both = { named: KNOWN_LIMITS.named, lifted: [lift, ...KNOWN_LIMITS.lifted] };
-    expect(there.limits).toEqual([
-      { news: KNOWN_LIMITS, by: "a" },
-      { news: both, by: "a" },
+    expect(remote.limits).toEqual([
+      { update: KNOWN_LIMITS, by: "a" },
+      { update: both, by: "a" },
     ]);
   });
 
-  it("are told of limits by a hub, and by which", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => there.limits.length === 1);
-    there.notifyAll(makeNotice({ limits: KNOWN_LIMITS }));
-    await waitFor(() => here.notices.length === 1);
-    expect(here.notices[0]!.limits).toEqual(KNOWN_LIMITS);
-    expect(here.tellers).toEqual(["b"]);
-  });
-
-  it("are told of such requests as soon as their link is up, and of each change", async () => {
-    const there = await openListener(KNOWN_CRASHES);
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => here.notices.length === 1);
-    there.notifyAll(makeNotice({ crashes: { ends: [], served: [DIGEST] } }));
-    await waitFor(() => here.notices.length === 2);
-    expect(here.notices.map(({ crashes }) => crashes)).toEqual([
+  it("receive limits from a hub, with the name of the hub", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => remote.limits.length === 1);
+    remote.notifyAll(makeNotice({ limits: KNOWN_LIMITS }));
+    await waitFor(() => local.notices.length === 1);
+    expect(local.notices[0]!.limits).toEqual(KNOWN_LIMITS);
+    expect(local.senders).toEqual(["b"]);
+  });
+
+  it("receive the crashes on record as soon as their link is up, and then each change", async () => {
+    const remote = await openServer(KNOWN_CRASHES);
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => local.notices.length === 1);
+    remote.notifyAll(makeNotice({ crashes: { ends: [], served: [DIGEST] } }));
+    await waitFor(() => local.notices.length === 2);
+    expect(local.notices.map(({ crashes }) => crashes)).toEqual([
       KNOWN_CRASHES,
       { ends: [], served: [DIGEST] },
     ]);
@@ -389,8 +397,8 @@
   runs: [{ id: "r1", tokensInMemory: 3_100, eventsMade: 4 }],
 };
 
-/** Passes bytes on until told to fall silent: what is open then stays open and brings nothing more, while new ones work. */
-const openSilencer = async (port: number) => {
+/** Opens a proxy. After `stopAll`, its open connections stay open without passing any bytes on, while new ones work. */
+const openProxy = async (port: number) => {
   const open = new Set<Socket>();
   const proxy = createServer((inner) => {
     const outer = connect(port, "127.0.0.1");
@@ -401,7 +409,7 @@
     }
   });
   await new Promise<void>((resolve) => proxy.listen(0, "127.0.0.1", resolve));
-  closers.push(() => {
+  cleanups.push(() => {
     proxy.close();
     for (const socket of open) socket.destroy();
   });
@@ -415,56 +423,56 @@
   return { port: (proxy.address() as AddressInfo).port, stopAll };
 };
 
-describe("a link that has gone silent for good", () => {
-  it("is opened anew, and tells all runs again", async () => {
-    const there = await openListener();
-    const silencer = await openSilencer(there.peer.address.port);
-    const here = openTeller();
-    const address = { host: "127.0.0.1", port: silencer.port };
-    here.links.setPeers([{ ...there.peer, address }]);
-    here.book.addRun(server, makeRun("before"));
-    await waitFor(() => there.book.listPeerRuns(server).length === 1);
-    silencer.stopAll();
-    here.book.addRun(server, makeRun("unheard"));
-    const given = new AbortController();
-    const question = { kind: "whole", table: "t", atLeast: BEFORE_ALL } as const;
-    const unanswered = here.links.ask(there.peer.box, question, given.signal);
-    given.abort();
+describe("a link whose connection stays silent", () => {
+  it("is opened anew, and sends all runs again", async () => {
+    const remote = await openServer();
+    const proxy = await openProxy(remote.peer.address.port);
+    const local = openReporter();
+    const address = { host: "127.0.0.1", port: proxy.port };
+    local.links.setPeers([{ ...remote.peer, address }]);
+    local.book.addRun(server, makeRun("before"));
+    await waitFor(() => remote.book.listPeerRuns(server).length === 1);
+    proxy.stopAll();
+    local.book.addRun(server, makeRun("unsent"));
+    const cancellation = new AbortController();
+    const question = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
+    const unanswered = local.links.ask(remote.peer.box, question, cancellation.signal);
+    cancellation.abort();
     expect((await unanswered).val).toMatchObject({ kind: "failed" });
-    here.links.renew(there.peer.box);
-    await waitFor(() => there.book.listPeerRuns(server).length === 2);
+    local.links.renew(remote.peer.box);
+    await waitFor(() => remote.book.listPeerRuns(server).length === 2);
     const { signal } = new AbortController();
-    expect((await here.links.ask(there.peer.box, question, signal)).val).toEqual({
+    expect((await local.links.ask(remote.peer.box, question, signal)).val).toEqual({
       kind: "not_known",
     });
   });
 });
 
 describe("boxes known by address only", () => {
-  it("are asked until the list of boxes names others", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setSeeds([there.peer.address]);
-    await waitFor(() => here.links.listUp().length === 1);
-    here.links.setPeers([]);
-    expect(here.links.count()).toBe(1);
-    here.links.setPeers([there.peer]);
-    await waitFor(() => here.links.listUp().some(({ box }) => box === there.peer.box));
-    expect(here.links.count()).toBe(1);
+  it("stay linked until the list of boxes names others", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setSeeds([remote.peer.address]);
+    await waitFor(() => local.links.listUp().length === 1);
+    local.links.setPeers([]);
+    expect(local.links.count()).toBe(1);
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => local.links.listUp().some(({ box }) => box === remote.peer.box));
+    expect(local.links.count()).toBe(1);
   });
 });
 
-describe("boxes that share out the engines' reports", () => {
-  it("tell all others what an engine reported to one of them, also without a change of runs", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    here.teller.takeReport({ server, report: REPORT });
-    await waitFor(() => there.reports.length === 1);
-    expect(there.reports).toEqual([{ server, report: REPORT }]);
+describe("boxes that divide the polling of engines among them", () => {
+  it("send an engine's report to all others, also without a change of runs", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    local.reporter.takeReport({ server, report: REPORT });
+    await waitFor(() => remote.reports.length === 1);
+    expect(remote.reports).toEqual([{ server, report: REPORT }]);
   });
 
-  it("ask each engine from two boxes, from one that is alone, and from others when a watcher goes", () => {
+  it("poll each engine from two boxes, from one box that is alone, and from another box when a watcher is lost", () => {
     const boxes = ["a", "b", "c", "d", "e"].map((name) => name as BoxName);
     const engines = Array.from({ length: 30 }, (_, i) => `engine-${i}` as ServerId);
     const listWatchers = (members: readonly BoxName[], engine: ServerId) =>
@@ -474,9 +482,9 @@
     for (const engine of engines) {
       const watchers = listWatchers(boxes, engine);
       expect(watchers).toHaveLength(2);
-      const left = boxes.filter((name) => name !== watchers[0]);
-      expect(listWatchers(left, engine)).toContain(watchers[1]);
-      expect(listWatchers(left, engine)).toHaveLength(2);
+      const remaining = boxes.filter((name) => name !== watchers[0]);
+      expect(listWatchers(remaining, engine)).toContain(watchers[1]);
+      expect(listWatchers(remaining, engine)).toHaveLength(2);
       expect(listWatchers(boxes.slice(0, 1), engine)).toHaveLength(1);
     }
     const own = boxes[0]!;
@@ -495,30 +503,30 @@
 
 describe("boxes that ask each other for a table", () => {
   const row = { key: "k", value: Buffer.from([0, 200]), revision: toRevision(4) };
-  const takeNothing = () => undefined;
-  const NOBODY = {
-    onWhole: takeNothing,
-    onChanges: takeNothing,
-    onFailure: takeNothing,
-    onRegained: takeNothing,
+  const acceptCall = () => undefined;
+  const EMPTY_SINK = {
+    onWhole: acceptCall,
+    onChanges: acceptCall,
+    onFailure: acceptCall,
+    onRegained: acceptCall,
   };
   const { signal } = new AbortController();
 
-  it("answers whole tables and news with their age, and says what it does not know", async () => {
-    const there = await openListener();
-    const here = openTeller();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => here.links.listUp().length === 1);
+  it("answers whole tables and changes with their age, and not_known or history_gone otherwise", async () => {
+    const remote = await openServer();
+    const local = openReporter();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => local.links.listUp().length === 1);
     const ask = (question: TableQuestion) =>
-      here.links.ask(there.peer.box, question, signal);
-    const whole = { kind: "whole", table: "t", atLeast: BEFORE_ALL } as const;
+      local.links.ask(remote.peer.box, question, signal);
+    const whole = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
     expect((await ask(whole)).val).toEqual({ kind: "not_known" });
     const clock = createSystemClock();
     const mirror = createTableMirror(clock);
-    there.mirrors.set("t", mirror);
+    remote.mirrors.set("t", mirror);
     expect((await ask(whole)).val).toEqual({ kind: "not_known" });
-    const sink = mirror.observe(NOBODY);
-    there.pulse.observe(NOBODY).onWhole([], clock.monotonic(), toRevision(1));
+    const sink = mirror.observe(EMPTY_SINK);
+    remote.pulse.observe(EMPTY_SINK).onWhole([], clock.monotonic(), toRevision(1));
     sink.onWhole([row], (clock.monotonic() - 50) as Ms, toRevision(7));
     const read = await ask(whole);
     expect(read.val).toMatchObject({
@@ -529,14 +537,14 @@
     expect(read.ok && read.val.kind === "whole" && read.val.age).toBeGreaterThanOrEqual(
       50,
     );
-    const news = ask({
+    const changesAnswer = ask({
       kind: "changes",
       table: "t",
       since: toRevision(7),
       wait: 60_000 as Ms,
     });
     sink.onChanges([{ kind: "gone", key: "k" }], clock.monotonic(), toRevision(9));
-    expect((await news).val).toMatchObject({
+    expect((await changesAnswer).val).toMatchObject({
       kind: "changes",
       changes: [{ kind: "gone", key: "k" }],
       revision: toRevision(9),
@@ -550,13 +558,13 @@
     expect((await ask(behind)).val).toEqual({ kind: "history_gone" });
   });
 
-  it("tells how long the store is silent by the table that it confirms most, whatever the others say", async () => {
+  it("computes the silence of the store from the pulse table only", async () => {
     const clock = createVirtualClock();
     clock.advance(10_000 as Ms);
     const pulse = createTableMirror(clock);
     const other = createTableMirror(clock);
-    pulse.observe(NOBODY).onWhole([], 7_000 as Ms, toRevision(1));
-    other.observe(NOBODY).onWhole([], 9_900 as Ms, toRevision(1));
+    pulse.observe(EMPTY_SINK).onWhole([], 7_000 as Ms, toRevision(1));
+    other.observe(EMPTY_SINK).onWhole([], 9_900 as Ms, toRevision(1));
     const sources = {
       mirrors: new Map([
         ["pulse", pulse],
@@ -569,32 +577,32 @@
     const whole = await answerTable(sources, {
       kind: "whole",
       table: "other",
-      atLeast: BEFORE_ALL,
+      atLeast: INITIAL_REVISION,
     });
     expect(whole).toMatchObject({ age: 100, silence: 3_000 });
     const question = { kind: "changes", table: "other", since: toRevision(1) } as const;
-    const news = await answerTable(sources, { ...question, wait: 60_000 as Ms });
-    expect(news).toMatchObject({ changes: [], age: 100, silence: 3_000 });
+    const changesAnswer = await answerTable(sources, { ...question, wait: 60_000 as Ms });
+    expect(changesAnswer).toMatchObject({ changes: [], age: 100, silence: 3_000 });
   });
 
-  it("says that there is no link, that a call failed, and that it was given up", async () => {
-    const here = openTeller();
-    const question = { kind: "whole", table: "t", atLeast: BEFORE_ALL } as const;
-    const nobody = "nobody" as BoxName;
-    expect((await here.links.ask(nobody, question, signal)).val).toEqual({
+  it("returns no_link without a link, and failed for a cancelled call", async () => {
+    const local = openReporter();
+    const question = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
+    const unlinkedBox = "nobody" as BoxName;
+    expect((await local.links.ask(unlinkedBox, question, signal)).val).toEqual({
       kind: "no_link",
     });
-    const there = await openListener();
-    here.links.setPeers([there.peer]);
-    await waitFor(() => here.links.listUp().length === 1);
+    const remote = await openServer();
+    local.links.setPeers([remote.peer]);
+    await waitFor(() => local.links.listUp().length === 1);
     const mirror = createTableMirror(createSystemClock());
-    there.mirrors.set("t", mirror);
+    remote.mirrors.set("t", mirror);
     const now = createSystemClock().monotonic();
-    mirror.observe(NOBODY).onWhole([], now, toRevision(1));
-    there.pulse.observe(NOBODY).onWhole([], now, toRevision(1));
+    mirror.observe(EMPTY_SINK).onWhole([], now, toRevision(1));
+    remote.pulse.observe(EMPTY_SINK).onWhole([], now, toRevision(1));
     const call = new AbortController();
-    const waiting = here.links.ask(
-      there.peer.box,
+    const waiting = local.links.ask(
+      remote.peer.box,
       { kind: "changes", table: "t", since: toRevision(1), wait: 60_000 as Ms },
       call.signal,
     );
@@ -634,7 +642,7 @@
     fc.constantFrom({ kind: "not_known" as const }, { kind: "history_gone" as const }),
   );
 
-  it("brings every answer across unchanged (property)", () => {
+  it("decodes every encoded answer unchanged (property)", () => {
     fc.assert(
       fc.property(ANSWER, (answer) => {
         expect(decodeAnswer(encodeAnswer(answer))).toEqual(answer);
@@ -643,7 +651,7 @@
     );
   });
 
-  it("brings a configuration of many routes across in a tenth of its bytes, and each box its own copy", () => {
+  it("encodes a configuration of many routes in less than a tenth of its bytes, the same for each box", () => {
     const routes = Array.from({ length: 1_400 }, (_, i) => ({
       prefix: `/route-${i}/`,
       service: `service-${i % 7}`,
@@ -664,7 +672,7 @@
     expect(decodeAnswer(bytes)).toEqual(answer);
   });
 
-  it("refuses a value that is no compressed one, or too large when it is opened", () => {
+  it("rejects a value that is not compressed, or too large after decompression", () => {
     const toAnswer = (zipped: string) =>
       Buffer.from(
         JSON.stringify({
@@ -685,7 +693,7 @@
     "[]",
     '{"kind":"all"}',
     '{"kind":"changes","table":"t","since":-1,"wait":0}',
-  ])("refuses the question %j", (text) => {
+  ])("rejects the question %j", (text) => {
     expect(() => decodeQuestion(Buffer.from(text))).toThrow();
   });
 
@@ -693,13 +701,13 @@
     "{",
     '{"kind":"whole","rows":[],"revision":1}',
     '{"kind":"whole","rows":[{}]}',
-  ])("refuses the answer %j", (text) => {
+  ])("rejects the answer %j", (text) => {
     expect(() => decodeAnswer(Buffer.from(text))).toThrow();
   });
 });
 
 describe("updateCodec", () => {
-  it("brings a notice across unchanged", () => {
+  it("decodes an encoded notice unchanged", () => {
     const row = { key: "k", value: Buffer.alloc(5_000, 7), revision: toRevision(4) };
     const notice: HubNotice = {
       leaving: [{ server, basis: "own_word" }],
@@ -711,7 +719,7 @@
     expect(decodeNotice(Buffer.from("{}")).unsettled).toEqual([]);
   });
 
-  it("brings an update across unchanged", () => {
+  it("decodes an encoded update unchanged", () => {
     const update: RunUpdate = {
       box: "a" as BoxName,
       isWhole: true,
@@ -737,7 +745,7 @@
     '{"box":"a","whole":true,"put":[],"drop":[],"crashes":{"ends":[],"served":["x"]}}',
     '{"box":"a","whole":true,"put":[],"drop":[],"limits":{"named":[],"lifted":[{"server":"s","age":-1}]}}',
     '{"box":"a","whole":true,"put":[],"drop":[],"limits":{"named":[{"server":"s","perSecond":0,"knownFor":1,"age":1}],"lifted":[]}}',
-  ])("refuses %j", (text) => {
+  ])("rejects the update %j", (text) => {
     expect(() => decodeUpdate(Buffer.from(text))).toThrow();
   });
 });
@@ -754,7 +762,7 @@
     revision: toRevision(1),
   });
 
-  it("puts its row, tells who is there, and names a row that cannot be read", async () => {
+  it("writes its row, reports the boxes in the table, and reports the key of an unreadable row", async () => {
     const written: string[] = [];
     const peers: string[][] = [];
     const failures: unknown[] = [];
@@ -790,7 +798,7 @@
     expect(failures).toEqual([{ kind: "unreadable_member", key: "c" }]);
   });
 
-  it("spread their rows over time when the store has lost them all", async () => {
+  it("spreads the writes of many boxes over time when the store has lost all rows", async () => {
     const BOXES = 400;
     const clock = createVirtualClock();
     const random = createSeededRandom(2);
@@ -818,7 +826,7 @@
         onFailure: () => undefined,
       });
       sink.onWhole(rows, 0 as Ms, toRevision(1));
-      // The rule for the own row drops it alone.
+      // The restore rules drop the own row only.
       const others = rows.filter((row) => row.key !== key);
       sink.onWhole(others, 0 as Ms, makeRevision(2, 1));
     }
--- a/packages/peers/src/rowCodec.ts
+++ b/packages/peers/src/rowCodec.ts
@@ -1,43 +1,43 @@
-/** Rows and revisions of the store as they go between boxes; what another box sends is checked like any input. */
+/** Codec for rows and revisions of the store in messages between boxes. Messages are validated like any input. */
 import { gunzipSync, gzipSync } from "node:zlib";
 import {
   makeRevision,
-  UNTOLD_ERA,
+  UNKNOWN_ERA,
   type StoredRow,
   type StoreRevision,
 } from "@stairgauge/storefeed";
 import { z } from "zod";
 
-/** A number that counts something. */
+/** A number that is not negative. */
 export const count = z.number().nonnegative();
 
-/** Boxes of earlier releases tell no era. */
-export const revisionFields = { revision: count, era: count.default(UNTOLD_ERA) };
+/** The fields of a revision in a message; boxes of earlier releases send no era. */
+export const revisionFields = { revision: count, era: count.default(UNKNOWN_ERA) };
 
 type WireRevision = Readonly<{ revision: number; era: number }>;
 
-/** Puts a revision into the form that it has on the wire. */
+/** Converts a revision to its form in a message. */
 export const toWireRevision = ({ era, version }: StoreRevision): WireRevision => ({
   revision: version,
   era,
 });
 
-/** Takes a revision from the form that it has on the wire. */
+/** Converts a revision from its form in a message. */
 export const fromWireRevision = ({ revision, era }: WireRevision): StoreRevision =>
   makeRevision(era, revision);
 
-/** A value from this size on goes compressed: a box hands a large configuration on to dozens of others over its link. */
-const COMPRESSED_FROM_BYTES = 4 * 1024;
+/** Values from this size on are compressed, as a box sends a large configuration to dozens of others over its link. */
+const MIN_COMPRESSED_BYTES = 4 * 1024;
 
-/** More than any row of the store holds; what claims to be larger is refused. */
+/** Limit of a decompressed value, above any row of the store; a larger value is rejected. */
 const MAX_VALUE_BYTES = 16 * 1024 * 1024;
 
-/** Each value is compressed once, however many boxes ask for it. */
+/** Compressed values by original: each is compressed once, however many boxes ask for it. */
 const compressed = new WeakMap<Buffer, string>();
 
 const encodeCompressed = (value: Buffer): string => {
-  const known = compressed.get(value);
-  if (known !== undefined) return known;
+  const cached = compressed.get(value);
+  if (cached !== undefined) return cached;
   const text = gzipSync(value).toString("base64");
   compressed.set(value, text);
   return text;
@@ -45,7 +45,7 @@
 
 const fromBase64 = (text: string): Buffer => Buffer.from(text, "base64");
 
-/** A row on the wire. */
+/** A row in a message. */
 export const rowSchema = z.union([
   z
     .object({
@@ -67,11 +67,11 @@
     })),
 ]);
 
-/** Puts a row into the form that it has on the wire. */
+/** Converts a row to its form in a message. */
 export const toWireRow = ({ key, value, revision }: StoredRow) => ({
   key,
   ...toWireRevision(revision),
-  ...(value.length < COMPRESSED_FROM_BYTES
+  ...(value.length < MIN_COMPRESSED_BYTES
     ? { value: value.toString("base64") }
     : { zipped: encodeCompressed(value) }),
 });
--- a/packages/peers/src/runReporter.ts
+++ b/packages/peers/src/runReporter.ts
@@ -1,58 +1,62 @@
-/** Collects changes of this box's runs and tells them together. */
+/** Collects changes to this box's runs, and sends them to other boxes in batches. */
 import type { BoxName, Clock, Ms } from "@stairgauge/common";
-import { NO_CRASH_NEWS, type CrashUpdate } from "@stairgauge/crashes";
+import { NO_CRASH_UPDATE, type CrashUpdate } from "@stairgauge/crashes";
 import type { ServerId } from "@stairgauge/directory";
-import { NO_LIMIT_NEWS, type LimitUpdate } from "@stairgauge/limits";
-import type { LoadBook, RunChange } from "@stairgauge/placement";
+import { NO_LIMIT_UPDATE, type LimitUpdate } from "@stairgauge/limits";
+import type { LoadRegistry, RunChange } from "@stairgauge/placement";
 import type { RunUpdate, SharedLeaving, SharedReport } from "./types.js";
 
-/** Changes within this time go out together; a placement by another box should see them. */
-const GATHER_MS = 3 as Ms;
+/** Changes within this time are sent together. It is short, as other boxes should place with the current runs. */
+const BATCH_MS = 3 as Ms;
 
-/** What telling needs. */
+/** Options of a run reporter. */
 export type RunReporterOptions = Readonly<{
   clock: Clock;
   own: BoxName;
-  book: LoadBook;
+  /** Runs of this box by server. */
+  book: LoadRegistry;
+  /** Sends to all boxes that this box is linked to. */
   send: (update: RunUpdate) => void;
   /** Sends to a few boxes, which pass it on. */
   sendToSome: (update: RunUpdate) => void;
-  /** Servers that left lately. */
+  /** Servers that began to leave recently. */
   listLeaving: () => readonly SharedLeaving[];
-  /** All that is known of requests that end servers. */
+  /** All requests on record under which servers crashed. */
   listCrashes: () => CrashUpdate;
-  /** All that is known of limits that servers name. */
+  /** All limits on record that servers have named. */
   listLimits: () => LimitUpdate;
 }>;
 
-/** Tells the runs of one box. */
+/** Reports the runs of one box, and what it learns of servers, to other boxes. */
 export type RunReporter = Readonly<{
+  /** A run of this box was added, changed or removed. */
   takeChange: (change: RunChange) => void;
   /** An engine has reported to this box. */
-  takeReport: (told: SharedReport) => void;
+  takeReport: (report: SharedReport) => void;
+  /** Makes an update with the whole state, for a box that has just been linked to. */
   makeWhole: () => RunUpdate;
-  /** A server gets no new work: a few boxes hear it, and pass it on. */
-  reportLeaving: (told: SharedLeaving) => void;
-  /** A server says that it gets no new work: all that this box is linked to hear it at once. */
-  reportAnnouncedLeaving: (told: SharedLeaving) => void;
-  /** A server broke a request off: told at once, since whoever places next would choose it. */
+  /** A server should get no new work: sent to a few boxes, which pass it on. */
+  reportLeaving: (leaving: SharedLeaving) => void;
+  /** A server has announced that it gets no new work: sent at once to all boxes that this box is linked to. */
+  reportAnnouncedLeaving: (leaving: SharedLeaving) => void;
+  /** A server broke off a request: sent at once, since the next placement of any box would choose it. */
   reportBroken: (server: ServerId) => void;
-  /** Servers ended under requests of this box, or it served such a request. */
-  takeCrashes: (news: CrashUpdate) => void;
-  /** Servers have told this box of their limits. */
-  takeLimits: (news: LimitUpdate) => void;
+  /** Servers crashed under requests of this box, or such a request was served. */
+  takeCrashes: (update: CrashUpdate) => void;
+  /** Servers have named limits in their answers to this box, or lifted them. */
+  takeLimits: (update: LimitUpdate) => void;
 }>;
 
-/** Creates the teller. */
+/** Creates a run reporter. */
 export const createRunReporter = (options: RunReporterOptions): RunReporter => {
   const { clock, own, book, send, sendToSome } = options;
   let pending: RunChange[] = [];
   let reports: SharedReport[] = [];
-  let crashes = NO_CRASH_NEWS;
-  let limits = NO_LIMIT_NEWS;
+  let crashes = NO_CRASH_UPDATE;
+  let limits = NO_LIMIT_UPDATE;
   let isScheduled = false;
 
-  const buildUpdate = (told: Partial<RunUpdate>): RunUpdate => ({
+  const buildUpdate = (parts: Partial<RunUpdate>): RunUpdate => ({
     box: own,
     isWhole: false,
     put: [],
@@ -60,35 +64,35 @@
     leaving: [],
     reports: [],
     broken: [],
-    crashes: NO_CRASH_NEWS,
-    limits: NO_LIMIT_NEWS,
-    ...told,
+    crashes: NO_CRASH_UPDATE,
+    limits: NO_LIMIT_UPDATE,
+    ...parts,
   });
 
   const schedule = () => {
     if (isScheduled) return;
     isScheduled = true;
-    clock.setTimer(GATHER_MS, sendPending);
+    clock.setTimer(BATCH_MS, sendPending);
   };
   const sendPending = () => {
     const changes = pending;
-    const toldReports = reports;
-    const toldCrashes = crashes;
-    const toldLimits = limits;
+    const sentReports = reports;
+    const sentCrashes = crashes;
+    const sentLimits = limits;
     isScheduled = false;
     pending = [];
     reports = [];
-    crashes = NO_CRASH_NEWS;
-    limits = NO_LIMIT_NEWS;
+    crashes = NO_CRASH_UPDATE;
+    limits = NO_LIMIT_UPDATE;
     const last = new Map(
       changes.map((change) => [`${change.server} ${change.id}`, change]),
     );
     const kept = [...last.values()];
     send(
       buildUpdate({
-        reports: toldReports,
-        crashes: toldCrashes,
-        limits: toldLimits,
+        reports: sentReports,
+        crashes: sentCrashes,
+        limits: sentLimits,
         put: kept.flatMap(({ server, run }) => (run ? [{ server, run }] : [])),
         drop: kept.flatMap(({ server, id, run }) => (run ? [] : [{ server, id }])),
       }),
@@ -100,8 +104,8 @@
       pending.push(change);
       schedule();
     },
-    takeReport: (told) => {
-      reports.push(told);
+    takeReport: (report) => {
+      reports.push(report);
       schedule();
     },
     makeWhole: () =>
@@ -127,7 +131,7 @@
       schedule();
     },
     reportBroken: (server) => send(buildUpdate({ broken: [server] })),
-    reportLeaving: (told) => sendToSome(buildUpdate({ leaving: [told] })),
-    reportAnnouncedLeaving: (told) => send(buildUpdate({ leaving: [told] })),
+    reportLeaving: (leaving) => sendToSome(buildUpdate({ leaving: [leaving] })),
+    reportAnnouncedLeaving: (leaving) => send(buildUpdate({ leaving: [leaving] })),
   };
 };
--- a/packages/peers/src/service.ts
+++ b/packages/peers/src/service.ts
@@ -1,4 +1,4 @@
-/** The calls between boxes: a stream of updates, by which a hub sends notices back, and questions that are answered once. */
+/** The gRPC calls between boxes: a stream of updates, on which a hub sends notices back, and unary questions. */
 import type { ServiceDefinition } from "@grpc/grpc-js";
 import {
   decodeMovesAnswer,
@@ -28,7 +28,7 @@
 } from "./types.js";
 import { decodeNotice, decodeUpdate, encodeNotice, encodeUpdate } from "./updateCodec.js";
 
-/** A message between boxes, as it goes over the wire. */
+/** A message between boxes, with its size on the wire. */
 export type PeerMessage = Readonly<{
   call: "tell_runs" | "ask_table" | "ask_place" | "ask_moves";
   direction: "sent" | "received";
@@ -46,7 +46,7 @@
 }>;
 
 const DEFINITION = {
-  tellRuns: {
+  reportRuns: {
     path: "/stairgauge.Peers/TellRuns",
     requestStream: true,
     responseStream: true,
@@ -84,7 +84,7 @@
   },
 } as const satisfies ServiceDefinition;
 
-/** The calls' definition, for either end; each message is told with its size. */
+/** Creates the service definition for clients and servers; `onMessage` is called for each message. */
 export const createPeerService = (onMessage: (message: PeerMessage) => void) => {
   const observeSent =
     <T>(call: PeerMessage["call"], serialize: (value: T) => Buffer) =>
@@ -110,12 +110,12 @@
     responseDeserialize: observeReceived(call, method.responseDeserialize),
   });
   return {
-    tellRuns: observe("tell_runs", DEFINITION.tellRuns),
+    reportRuns: observe("tell_runs", DEFINITION.reportRuns),
     askTable: observe("ask_table", DEFINITION.askTable),
     askPlace: observe("ask_place", DEFINITION.askPlace),
     askMoves: observe("ask_moves", DEFINITION.askMoves),
   };
 };
 
-/** The definition as either end holds it. */
+/** The service definition. */
 export type PeerService = ReturnType<typeof createPeerService>;
--- a/packages/peers/src/sharedKnowledge.testkit.ts
+++ b/packages/peers/src/sharedKnowledge.testkit.ts
@@ -1,4 +1,4 @@
-/** A small world for tests of shared knowledge: a store, boxes with clocks of their own, and links, on one virtual time. */
+/** A simulation of boxes that read a store through each other: a store, boxes with clocks of their own, and links. */
 import {
   createSeededRandom,
   createVirtualClock,
@@ -10,7 +10,7 @@
   type Random,
 } from "@stairgauge/common";
 import {
-  createRevisionMark,
+  createRevisionWatermark,
   createTableFollower,
   createTableMirror,
   makeRevision,
@@ -25,7 +25,7 @@
 import { rankByCapacity } from "./rankStoreReaders.js";
 import type { AskFailure, Member, TableAnswer } from "./types.js";
 
-/** Boxes that differ in nothing but their names. */
+/** Makes a member like all others except for its name. */
 export const toEqualMember = (box: BoxName): Member => ({ box, capacity: 1 });
 
 export const TABLE = "operator";
@@ -36,49 +36,49 @@
 export const GUARD_MS = 1_500 as Ms;
 const KEY = "config";
 
-/** What a change takes to all who ask a box behind a narrow link. */
+/** Time that a box behind a narrow link takes to send a change to all boxes that ask it. */
 const NARROW_LINK_MS = 980;
 
-/** What can be wrong with one box, and from when to when on the world's time. */
-export type Trouble = Readonly<{
-  /** `gone` says nothing; `closed` ends its connections, as a process that stops or is killed does. */
+/** A fault of one box, and its beginning and end in simulated time. */
+export type Fault = Readonly<{
+  /** A `gone` box stays silent; a `closed` one ends its connections, as a process that stops or is killed does. */
   kind: "frozen" | "cut_from_store" | "slow_links" | "narrow_link" | "gone" | "closed";
   box: number;
   from: number;
   until: number;
 }>;
 
-/** Times in ms of the world. */
-export type StoreDrill = Readonly<{
+/** The store is down for a while and then restored from a backup; times in simulated ms. */
+export type StoreRestore = Readonly<{
   from: number;
   until: number;
-  /** How old the copy is when the store goes away. */
-  copyAge: number;
-  /** Versions given out to others between the return and the operator's writing. */
+  /** Age of the backup when the store goes down. */
+  backupAge: number;
+  /** Versions used by other writes between the restore and the operator's write. */
   otherVersions: number;
-  /** From the return to the operator's writing. */
+  /** Time from the restore to the operator's write. */
   rewriteAfter: number;
 }>;
 
-export type WorldOptions = Readonly<{
+export type SimulationOptions = Readonly<{
   seed: number;
   boxes: number;
   /** Times at which the operator changes the row. */
   changes: readonly number[];
-  troubles: readonly Trouble[];
-  /** The store is away, and comes back from a copy; its operator writes again what was lost. */
-  drills?: readonly StoreDrill[];
-  /** Boxes are linked to the hubs only, by links that come up after this time. */
+  faults: readonly Fault[];
+  /** Restores of the store, after which the operator writes lost changes again. */
+  restores?: readonly StoreRestore[];
+  /** When set, boxes are linked to the hubs only, and the links come up at this time. */
   hubLinksUpAt?: number;
 }>;
 
-/** One moment at which a box said how fresh what it knows is. */
-export type Claim = Readonly<{
+/** The state that one box had read at one moment, and its freshness. */
+export type Observation = Readonly<{
   box: number;
   at: number;
-  /** On the world's time. */
+  /** The state was true at this simulated time or later. */
   asOf: number;
-  /** How many changes it knows. */
+  /** Number of changes that the box has read. */
   known: number;
 }>;
 
@@ -86,28 +86,28 @@
 const fromRow = (row: StoredRow | undefined): number =>
   Number(row?.value.toString() ?? 0);
 
-export const createWorld = (options: WorldOptions) => {
-  const { seed, boxes, changes, troubles, drills = [], hubLinksUpAt } = options;
-  const world = createVirtualClock();
+export const createSimulation = (options: SimulationOptions) => {
+  const { seed, boxes, changes, faults, restores = [], hubLinksUpAt } = options;
+  const globalClock = createVirtualClock();
   const random: Random = createSeededRandom(seed);
-  const claims: Claim[] = [];
+  const observations: Observation[] = [];
   const storeCalls: number[] = Array.from({ length: boxes }, () => 0);
   const knownBy: number[] = Array.from({ length: boxes }, () => 0);
 
-  const hasTrouble = (box: number, kind: Trouble["kind"]) =>
-    troubles.some(
-      (one) =>
-        one.box === box &&
-        one.kind === kind &&
-        world.now() >= one.from &&
-        world.now() < one.until,
+  const hasFault = (box: number, kind: Fault["kind"]) =>
+    faults.some(
+      (fault) =>
+        fault.box === box &&
+        fault.kind === kind &&
+        globalClock.now() >= fault.from &&
+        globalClock.now() < fault.until,
     );
 
   let written = 0;
   let count = 0;
   let revision = makeRevision(1, 0);
   let rowRevision = revision;
-  let isAway = false;
+  let isStoreDown = false;
   const waiting = new Set<() => void>();
   const openCalls = new Set<() => void>();
   const makeRow = (): StoredRow => ({
@@ -122,51 +122,53 @@
     for (const end of [...waiting]) end();
   };
   for (const at of changes)
-    world.setTimer(at as Ms, () => {
+    globalClock.setTimer(at as Ms, () => {
       written += 1;
-      // While the store is away its operator tries on, and writes when it is back.
-      if (!isAway) writeRow();
+      // While the store is down, the operator retries, and writes after the restore.
+      if (!isStoreDown) writeRow();
     });
-  const recoverStore = (drill: StoreDrill) => {
-    isAway = false;
-    const copied = changes.filter((at) => at <= drill.from - drill.copyAge).length;
-    count = Math.min(count, copied);
+  const recoverStore = (restore: StoreRestore) => {
+    isStoreDown = false;
+    const restoredCount = changes.filter(
+      (at) => at <= restore.from - restore.backupAge,
+    ).length;
+    count = Math.min(count, restoredCount);
     rowRevision = makeRevision(revision.era + 1, count);
-    revision = makeRevision(revision.era + 1, count + drill.otherVersions);
-    const mayWrite = () => !isAway && count < written;
-    world.setTimer(drill.rewriteAfter as Ms, () => mayWrite() && writeRow());
+    revision = makeRevision(revision.era + 1, count + restore.otherVersions);
+    const mayWrite = () => !isStoreDown && count < written;
+    globalClock.setTimer(restore.rewriteAfter as Ms, () => mayWrite() && writeRow());
   };
-  for (const drill of drills) {
-    world.setTimer(drill.from as Ms, () => {
-      isAway = true;
+  for (const restore of restores) {
+    globalClock.setTimer(restore.from as Ms, () => {
+      isStoreDown = true;
       waiting.clear();
-      for (const breakCall of [...openCalls]) breakCall();
+      for (const failCall of [...openCalls]) failCall();
     });
-    world.setTimer(drill.until as Ms, () => recoverStore(drill));
+    globalClock.setTimer(restore.until as Ms, () => recoverStore(restore));
   }
 
-  const isEnded = (box: number) => hasTrouble(box, "gone") || hasTrouble(box, "closed");
-  const isDown = (box: number) => hasTrouble(box, "frozen") || isEnded(box);
+  const isEnded = (box: number) => hasFault(box, "gone") || hasFault(box, "closed");
+  const isStopped = (box: number) => hasFault(box, "frozen") || isEnded(box);
 
-  /** What a frozen process would have done, it does when it wakes. */
+  /** Runs the work at a box; a frozen box runs it when it resumes. */
   const runAt = (box: number, work: () => void): void => {
     if (isEnded(box)) return;
-    if (isDown(box)) world.setTimer(10 as Ms, () => runAt(box, work));
+    if (isStopped(box)) globalClock.setTimer(10 as Ms, () => runAt(box, work));
     else work();
   };
   const makeClock = (box: number, offset: number): Clock => ({
-    now: () => (world.now() + offset) as Ms,
-    monotonic: () => (world.now() + offset) as Ms,
-    boottime: () => (world.now() + offset) as Ms,
-    setTimer: (delay, fire) => world.setTimer(delay, () => runAt(box, fire)),
+    now: () => (globalClock.now() + offset) as Ms,
+    monotonic: () => (globalClock.now() + offset) as Ms,
+    boottime: () => (globalClock.now() + offset) as Ms,
+    setTimer: (delay, fire) => globalClock.setTimer(delay, () => runAt(box, fire)),
   });
 
   const computeDelay = (...ends: readonly number[]): Ms => {
-    const isSlow = ends.some((box) => hasTrouble(box, "slow_links"));
+    const isSlow = ends.some((box) => hasFault(box, "slow_links"));
     return random.nextInt(1, isSlow ? 1_500 : 5) as Ms;
   };
-  const passTo = (box: number, delay: Ms, work: () => void) => {
-    world.setTimer(delay, () => runAt(box, work));
+  const sendTo = (box: number, delay: Ms, work: () => void) => {
+    globalClock.setTimer(delay, () => runAt(box, work));
   };
 
   const makeStore = (box: number): StoreReader => {
@@ -178,21 +180,21 @@
           resolve(undefined);
           return;
         }
-        if (hasTrouble(box, "cut_from_store")) return;
-        const breakCall = () => {
-          openCalls.delete(breakCall);
+        if (hasFault(box, "cut_from_store")) return;
+        const failCall = () => {
+          openCalls.delete(failCall);
           resolve(undefined);
         };
-        openCalls.add(breakCall);
-        if (isAway) {
-          passTo(box, computeDelay(), breakCall);
+        openCalls.add(failCall);
+        if (isStoreDown) {
+          sendTo(box, computeDelay(), failCall);
           return;
         }
-        world.setTimer(computeDelay(), () =>
+        globalClock.setTimer(computeDelay(), () =>
           answer((value) => {
-            openCalls.delete(breakCall);
-            if (hasTrouble(box, "cut_from_store")) return;
-            passTo(box, computeDelay(), () => resolve(value));
+            openCalls.delete(failCall);
+            if (hasFault(box, "cut_from_store")) return;
+            sendTo(box, computeDelay(), () => resolve(value));
           }),
         );
       });
@@ -208,7 +210,7 @@
         const read = await call<readonly [RowChange[], StoreRevision] | "gone">(
           signal,
           (send) => {
-            // The store is asked for a version only: it doesn't know of which era.
+            // A request names a version only; the store does not see its era.
             const isKnown = since.version <= revision.version;
             const isNew = () => rowRevision.version > since.version;
             const answer = () => {
@@ -216,7 +218,7 @@
               timer.cancel();
               send([isNew() ? [{ kind: "put", row: makeRow() }] : [], revision]);
             };
-            const timer = world.setTimer(wait, answer);
+            const timer = globalClock.setTimer(wait, answer);
             if (!isKnown) {
               timer.cancel();
               send("gone");
@@ -237,17 +239,17 @@
     const offset = 1_000_000 * box;
     const clock = makeClock(box, offset);
     const mirror = createTableMirror(clock);
-    const claim = (read: number, asOf: Ms) => {
-      // What the operator's word is about carries a number of its own, which never goes back.
+    const recordObservation = (read: number, asOf: Ms) => {
+      // The operator numbers its changes, and this number never falls.
       const known = Math.max(knownBy[box]!, read);
       knownBy[box] = known;
-      claims.push({ box, at: world.now(), asOf: asOf - offset, known });
+      observations.push({ box, at: globalClock.now(), asOf: asOf - offset, known });
     };
     const sink: FollowerSink = {
-      onWhole: (rows, asOf) => claim(fromRow(rows[0]), asOf),
-      onChanges: (news, asOf) => {
-        const last = news.at(-1);
-        claim(last?.kind === "put" ? fromRow(last.row) : knownBy[box]!, asOf);
+      onWhole: (rows, asOf) => recordObservation(fromRow(rows[0]), asOf),
+      onChanges: (changesRead, asOf) => {
+        const last = changesRead.at(-1);
+        recordObservation(last?.kind === "put" ? fromRow(last.row) : knownBy[box]!, asOf);
       },
       onFailure: () => undefined,
       onRegained: () => undefined,
@@ -261,11 +263,11 @@
     hubLinksUpAt === undefined
       ? names.filter((name) => name !== own)
       : chooseLinks({ own, ranked, isFailing: isGone, isAvoided: isGone });
-  const listUp = (own: BoxName) =>
-    world.now() < (hubLinksUpAt ?? 0) ? [] : listLinked(own).map(toEqualMember);
+  const listUpFrom = (own: BoxName) =>
+    globalClock.now() < (hubLinksUpAt ?? 0) ? [] : listLinked(own).map(toEqualMember);
 
   const ask = (from: number, to: number) =>
-    new Promise<void>((resolve) => passTo(to, computeDelay(from, to), resolve));
+    new Promise<void>((resolve) => sendTo(to, computeDelay(from, to), resolve));
 
   const followers = mirrors.map(({ box, clock, sink }) => {
     const reader = createSharedReader({
@@ -276,7 +278,7 @@
         countBoxes: () => names.length,
         renew: () => undefined,
         listReachable: () => listLinked(toName(box)).map(toEqualMember),
-        listUp: () => listUp(toName(box)),
+        listUp: () => listUpFrom(toName(box)),
         ask: (name, question, signal) =>
           new Promise((resolve) => {
             const to = names.indexOf(name);
@@ -284,10 +286,10 @@
               const failure: AskFailure = { kind: "failed", detail };
               resolve(Err(failure));
             };
-            signal.addEventListener("abort", () => fail("given up"));
-            for (const { kind, box: closed, from } of troubles)
+            signal.addEventListener("abort", () => fail("aborted call"));
+            for (const { kind, box: closed, from } of faults)
               if (kind === "closed" && closed === to)
-                world.setTimer(Math.max(1, from - world.now()) as Ms, () =>
+                globalClock.setTimer(Math.max(1, from - globalClock.now()) as Ms, () =>
                   runAt(box, () => fail("closed")),
                 );
             const answerAt = async () => {
@@ -301,10 +303,10 @@
                 },
                 question,
               );
-              const hasNews = answer.kind === "changes" && answer.changes.length > 0;
-              const isHeldUp = hasNews && hasTrouble(to, "narrow_link");
-              const delay = computeDelay(box, to) + (isHeldUp ? NARROW_LINK_MS : 0);
-              passTo(box, delay as Ms, () => resolve(Ok(answer)));
+              const hasChanges = answer.kind === "changes" && answer.changes.length > 0;
+              const isDelayed = hasChanges && hasFault(to, "narrow_link");
+              const delay = computeDelay(box, to) + (isDelayed ? NARROW_LINK_MS : 0);
+              sendTo(box, delay as Ms, () => resolve(Ok(answer)));
             };
             void answerAt();
           }),
@@ -326,23 +328,23 @@
       gather: 0 as Ms,
       patience: 1_600 as Ms,
       retryPause: { first: 100 as Ms, most: 500 as Ms },
-      revisions: createRevisionMark(),
+      revisions: createRevisionWatermark(),
       onStaleRead: () => undefined,
       sink,
     });
   });
 
-  /** Lets the world go on until the time given. */
+  /** Runs the simulation until the given time. */
   const runUntil = async (end: number): Promise<void> => {
     for (
-      let next = world.getNextAt();
+      let next = globalClock.getNextAt();
       next !== undefined && next <= end;
-      next = world.getNextAt()
+      next = globalClock.getNextAt()
     ) {
-      world.step();
+      globalClock.step();
       await new Promise((resolve) => setImmediate(resolve));
     }
-    world.advance((end - world.now()) as Ms);
+    globalClock.advance((end - globalClock.now()) as Ms);
   };
 
   return {
@@ -354,10 +356,10 @@
       for (const follower of followers) follower.stop();
     },
     runUntil,
-    claims,
+    observations,
     storeCalls,
     knownBy,
     countChangesAt: (time: number) => changes.filter((at) => at <= time).length,
-    hasTrouble,
+    hasFault,
   };
 };
--- a/packages/peers/src/sharedReader.test.ts
+++ b/packages/peers/src/sharedReader.test.ts
@@ -1,4 +1,4 @@
-/** One box that is stopped, with calls for several tables waiting at it. */
+/** Failure of a box at which calls for several tables are waiting. */
 import { describe, expect, it } from "vitest";
 import {
   advanceSettled,
@@ -26,19 +26,19 @@
 const members = Array.from({ length: 20 }, (_, i) =>
   toEqualMember(`box-${i}` as BoxName),
 );
-const hearers = rankStoreReaders(members, 2);
-const own = members.find(({ box }) => !hearers.includes(box))!;
-const [first, second] = rankForAsker(hearers, own.box);
+const storeReaders = rankStoreReaders(members, 2);
+const own = members.find(({ box }) => !storeReaders.includes(box))!;
+const [first, second] = rankForAsker(storeReaders, own.box);
 
 const setUp = () => {
   const clock = createVirtualClock();
   const ends = new Map<string, () => void>();
   const asked: string[] = [];
-  const stored: string[] = [];
+  const storeCalls: string[] = [];
   const renewed: BoxName[] = [];
-  /** A store that says nothing until its caller gives up. */
+  /** A store that does not answer before the caller aborts. */
   const callStore = ({ table, signal }: WholeRequest | ChangesRequest) => {
-    stored.push(table);
+    storeCalls.push(table);
     return new Promise<Result<never, StoreFailure>>((resolve) => {
       signal.addEventListener("abort", () => resolve(Err({ kind: "timed_out" })));
     });
@@ -85,12 +85,12 @@
   const follow = (table: string) =>
     reader.awaitChanges({ table, since: toRevision(4), wait: 400 as Ms, signal });
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
-  return { follow, ends, asked, stored, renewed, advance };
+  return { follow, ends, asked, storeCalls, renewed, advance };
 };
 
 describe("createSharedReader", () => {
-  it("takes all calls from a box that closes to the next, and none to the store", async () => {
-    const { follow, ends, asked, stored, renewed, advance } = setUp();
+  it("repeats all calls at the next box, and none at the store, when a box closes its connections", async () => {
+    const { follow, ends, asked, storeCalls, renewed, advance } = setUp();
     const reads = ["servers", "boxes"].map(follow);
     await advance(1);
     ends.get("servers")!();
@@ -101,29 +101,29 @@
       `servers ${second}`,
       `boxes ${second}`,
     ]);
-    expect(stored).toEqual([]);
+    expect(storeCalls).toEqual([]);
     expect(renewed).toEqual([]);
   });
 
-  it("asks the store when a box has been silent, and opens the link to it anew", async () => {
-    const { follow, asked, stored, renewed, advance } = setUp();
+  it("asks the store after a box was silent, and opens a new link to that box", async () => {
+    const { follow, asked, storeCalls, renewed, advance } = setUp();
     const reads = ["servers", "boxes"].map(follow);
-    // 1.5 waits and the box's patience, and then that of the store; nobody has to give the call up from outside.
+    // 1.5 times the wait plus the box's patience, then the store's; the calls end by themselves, without an abort from outside.
     await advance(600 + 400 + 1_000);
     expect((await Promise.all(reads)).map(({ ok }) => ok)).toEqual([false, false]);
     expect(asked).toHaveLength(2);
-    expect(stored.toSorted()).toEqual(["boxes", "servers"]);
+    expect(storeCalls.toSorted()).toEqual(["boxes", "servers"]);
     expect(renewed).toEqual([first]);
   });
 
-  it("keeps the link to a box that had less than its time, since what is known grew too old", async () => {
-    const { follow, asked, stored, renewed, advance } = setUp();
-    // Nothing is known of the guarded table yet, as after a loss of the store: the box has no time at all.
+  it("keeps the link to a box that had less than its full time because the guarded table grew too old", async () => {
+    const { follow, asked, storeCalls, renewed, advance } = setUp();
+    // The guarded table has not been read yet, as after a loss of the store, so the box gets no time to answer.
     const read = follow("guarded");
     await advance(1_000);
     expect((await read).ok).toBe(false);
     expect(asked).toEqual([`guarded ${first}`]);
-    expect(stored).toEqual(["guarded"]);
+    expect(storeCalls).toEqual(["guarded"]);
     expect(renewed).toEqual([]);
   });
 });
--- a/packages/peers/src/sharedReader.ts
+++ b/packages/peers/src/sharedReader.ts
@@ -1,6 +1,7 @@
 /**
- * Reads tables from a box that hears the store, so that calls to the store do not grow with the boxes; from the store
- * itself while this box is one that hears it, knows none, or finds what it is told too old.
+ * Reads tables from a few boxes that read the store, the store readers, so that the number of calls to the store does not grow
+ * with the number of boxes. Reads from the store itself while this box is a store reader, can ask none, or gets answers that
+ * are too old.
  */
 import {
   Err,
@@ -12,7 +13,7 @@
   type Result,
 } from "@stairgauge/common";
 import {
-  BEFORE_ALL,
+  INITIAL_REVISION,
   compareRevisions,
   isEarlierRevision,
   NEW_ERA,
@@ -28,178 +29,187 @@
 import { rankByCapacity, rankForAsker, rankStoreReaders } from "./rankStoreReaders.js";
 import type { Member, TableAnswer, TableQuestion } from "./types.js";
 
-/** Why a box is not asked for a while. */
-export type DistrustReason = "no_answer" | "lost_the_store";
+/** Why a box is ejected, which means that it is not asked for a while. */
+export type EjectionReason = "no_answer" | "lost_the_store";
 
-/** What reading through other boxes needs. */
+/** Options of a shared reader. */
 export type SharedReaderOptions = Readonly<{
   clock: Clock;
   own: Member;
   store: StoreReader;
   links: Pick<PeerLinks, "ask" | "listUp" | "listReachable" | "countBoxes" | "renew">;
-  /** How many boxes hear the store. */
+  /** Minimum number of store readers. */
   hearers: number;
-  /** A box that has not heard the store for longer has lost it, and is of no use. */
+  /** A box that has received nothing from the store for longer than this has lost it, and is not asked. */
   mostSilence: Ms;
-  /** How many times longer than the store a box is asked to wait for news: its own confirmations come in between. */
+  /** How many times longer than the store a box is asked to wait for changes: the store confirms the table to it meanwhile. */
   relayedWaits: number;
-  /** The table whose age a promise bounds, and the age at which the store itself is asked whatever a box may yet say. */
+  /** The table whose age is bounded by a guarantee, and the age at which the store is asked instead of waiting for a box. */
   guard: Readonly<{ table: string; age: Ms }>;
-  /** How much longer than asked a box may take to answer. */
+  /** How much longer than the wait in the question a box may take to answer. */
   patience: Ms;
-  /** The same for the store; the caller of the reader waits for both, one after the other. */
+  /** The same for the store; a read may take the time of a box and then that of the store. */
   storePatience: Ms;
-  onDistrust: (box: BoxName, reason: DistrustReason) => void;
+  /** Called when a box is ejected. */
+  onDistrust: (box: BoxName, reason: EjectionReason) => void;
 }>;
 
-/** How long a box that did not answer or knew too little is passed over, and the store when it failed. */
-const DISTRUST_MS = 3_000;
+/** How long a box that did not answer or has lost the store is not asked; the same for the store after a failure. */
+const EJECTION_MS = 3_000;
 
-/** How long the store comes before other boxes for one that knows nothing yet. */
+/** Head start of the store before other boxes are asked too, for the first read of a table. */
 const STORE_FIRST_MS = 250 as Ms;
 
 /**
- * Boxes behind those that hear the store that are asked when all of these have lost it: the first of them that reaches the
- * store hears it for the rest, where otherwise each box of a site would.
+ * Boxes ranked next to the store readers, which are asked when all store readers have lost the store. The first of them that
+ * reaches the store reads it for the others; otherwise each box of the site would call it.
  */
-export const SECOND_LINE = 3;
+export const MAX_FALLBACK_READERS = 3;
 
-/** How long a link that is about to stand is waited for: less than after which it counts as failing. */
-const LINK_MS = 800;
-const LINK_LOOK_MS = 50 as Ms;
+/** How long to wait for a link that is coming up; less than the time after which a link counts as failing. */
+const LINK_WAIT_MS = 800;
+const LINK_POLL_MS = 50 as Ms;
 
-/** A caller that was let down by a box wants to know what is there now, not what comes. */
-const AT_ONCE_MS = 0 as Ms;
+/** A caller whose box failed needs the current state from the store, without waiting for changes. */
+const NO_WAIT_MS = 0 as Ms;
 
-type Distrust = Readonly<{ reason: DistrustReason; until: number }>;
+type Ejection = Readonly<{ reason: EjectionReason; until: number }>;
 
-/** Why asking a box brought nothing. */
-type AskEnd = "silent" | "unreachable" | "lost_the_store";
+/** Why a box gave no usable answer. */
+type AskProblem = "silent" | "unreachable" | "lost_the_store";
 
 /** Creates the reader. */
 export const createSharedReader = (options: SharedReaderOptions): StoreReader => {
   const { clock, own, store, links, patience, mostSilence } = options;
-  const distrusted = new Map<BoxName, Distrust>();
-  const asked = new Map<BoxName, Set<AbortController>>();
-  let storeLostUntil = -Infinity;
+  const ejected = new Map<BoxName, Ejection>();
+  const openCalls = new Map<BoxName, Set<AbortController>>();
+  let storeFailedUntil = -Infinity;
   let guardedAsOf = -Infinity;
 
-  const isTrusted = (box: BoxName) =>
-    (distrusted.get(box)?.until ?? -Infinity) <= clock.monotonic();
-  const hasStore = () => storeLostUntil <= clock.monotonic();
-  /** When the store is back here, it is likely to be back at the boxes that had lost it. */
-  const resumeTrust = () => {
-    for (const [box, { reason }] of distrusted)
-      if (reason === "lost_the_store") distrusted.delete(box);
+  const isUsable = (box: BoxName) =>
+    (ejected.get(box)?.until ?? -Infinity) <= clock.monotonic();
+  const isStoreUsable = () => storeFailedUntil <= clock.monotonic();
+  /** When this box reaches the store again, the boxes that had lost it probably do so too. */
+  const restoreEjected = () => {
+    for (const [box, { reason }] of ejected)
+      if (reason === "lost_the_store") ejected.delete(box);
   };
 
-  const listHearers = () =>
+  const listStoreReaders = () =>
     rankStoreReaders(
       [own, ...links.listReachable()],
       options.hearers,
       links.countBoxes(),
     );
 
-  /** Boxes that stand in for those who hear the store; each asks only those before it, so that none asks in a circle. */
-  const listSecondLine = (hearers: readonly BoxName[]): readonly BoxName[] => {
+  /** Boxes to ask instead of the store readers. Each box asks only those ranked before it, so there are no cycles. */
+  const listFallbackReaders = (storeReaders: readonly BoxName[]): readonly BoxName[] => {
     const ranked = rankByCapacity([own, ...links.listReachable()]);
     const before = ranked.slice(0, ranked.indexOf(own.box));
-    return before.filter((box) => !hearers.includes(box)).slice(0, SECOND_LINE);
+    return before
+      .filter((box) => !storeReaders.includes(box))
+      .slice(0, MAX_FALLBACK_READERS);
   };
 
-  /** Whom to ask: those who hear the store, or anybody while this box itself has lost it. */
+  /** The boxes to ask, in order: store readers, then fallback readers; all linked boxes while this box has lost the store. */
   const listCandidates = (): readonly BoxName[] => {
-    const hearers = listHearers();
+    const storeReaders = listStoreReaders();
     const up = links.listUp().map(({ box }) => box);
     const listIfUp = (boxes: readonly BoxName[]) =>
       boxes.filter((box) => up.includes(box));
-    const hearing = listIfUp(hearers);
-    if (!hasStore()) {
-      const others = up.filter((box) => !hearers.includes(box));
-      return [...hearing, ...rankForAsker(others, own.box)];
+    const linkedReaders = listIfUp(storeReaders);
+    if (!isStoreUsable()) {
+      const others = up.filter((box) => !storeReaders.includes(box));
+      return [...linkedReaders, ...rankForAsker(others, own.box)];
     }
-    if (hearers.includes(own.box)) return [];
-    return [...rankForAsker(hearing, own.box), ...listIfUp(listSecondLine(hearers))];
+    if (storeReaders.includes(own.box)) return [];
+    return [
+      ...rankForAsker(linkedReaders, own.box),
+      ...listIfUp(listFallbackReaders(storeReaders)),
+    ];
   };
 
-  /** Others hear the store, and their links are about to stand, as when a box has just read who there is. */
-  const isAboutToLink = (): boolean => {
-    const hearers = listHearers();
+  /** Whether a link to a store reader is coming up, as when this box has just read the list of boxes. */
+  const isLinkExpected = (): boolean => {
+    const storeReaders = listStoreReaders();
     const up = links.listUp().map(({ box }) => box);
     return (
-      hasStore() &&
-      !hearers.includes(own.box) &&
-      hearers.some((box) => !up.includes(box) && isTrusted(box))
+      isStoreUsable() &&
+      !storeReaders.includes(own.box) &&
+      storeReaders.some((box) => !up.includes(box) && isUsable(box))
     );
   };
 
   /**
-   * Waits for a link to a box that hears the store, as long as what this one knows is fresh: boxes that start together would
-   * all call the store meanwhile.
+   * Waits for a link to a store reader while the guarded table is fresh: otherwise boxes that start together would all call
+   * the store. Returns the box to ask, or undefined.
    */
   const awaitLink = async (signal: AbortSignal): Promise<BoxName | undefined> => {
-    const until = Math.min(guardedAsOf + options.guard.age, clock.monotonic() + LINK_MS);
-    while (chooseBox() === undefined && isAboutToLink() && !signal.aborted) {
+    const until = Math.min(
+      guardedAsOf + options.guard.age,
+      clock.monotonic() + LINK_WAIT_MS,
+    );
+    while (chooseBox() === undefined && isLinkExpected() && !signal.aborted) {
       if (clock.monotonic() >= until) break;
-      await waitFor(clock, LINK_LOOK_MS);
+      await waitFor(clock, LINK_POLL_MS);
     }
     return chooseBox();
   };
 
-  const listUpForSelf = () =>
+  const listUpRanked = () =>
     rankForAsker(
       links.listUp().map(({ box }) => box),
       own.box,
     );
 
-  /** The box to ask; none when this one has to ask the store itself. */
-  const chooseBox = (): BoxName | undefined => listCandidates().find(isTrusted);
+  /** The box to ask; undefined when this box has to ask the store itself. */
+  const chooseBox = (): BoxName | undefined => listCandidates().find(isUsable);
 
   const recordGuarded = (table: string, asOf: number) => {
     if (table === options.guard.table) guardedAsOf = Math.max(guardedAsOf, asOf);
   };
 
-  /** Calls the store for as long as it may take; after a failure other boxes are asked for a while. */
+  /** Calls the store with a time limit; after a failure, other boxes are asked for a while. */
   const callStore = async <T>(
     request: Readonly<{ table: string; signal: AbortSignal; wait?: Ms }>,
     call: (signal: AbortSignal) => Promise<Result<T, StoreFailure>>,
   ): Promise<Result<T, StoreFailure>> => {
     const { table, signal, wait = 0 } = request;
-    const within = new AbortController();
+    const timeout = new AbortController();
     const limit = (wait + options.storePatience) as Ms;
-    const timer = clock.setTimer(limit, () => within.abort());
+    const timer = clock.setTimer(limit, () => timeout.abort());
     const sentAt = clock.monotonic();
-    const read = await call(AbortSignal.any([signal, within.signal]));
+    const read = await call(AbortSignal.any([signal, timeout.signal]));
     timer.cancel();
-    // Given up for what another call has told: the store is there.
+    // Aborted because another answer showed a new era: the store has not failed.
     if (signal.reason === NEW_ERA) return read;
     const hasAnswered = read.ok || read.val.kind === "history_gone";
-    if (hasAnswered && storeLostUntil > -Infinity) resumeTrust();
-    storeLostUntil = hasAnswered ? -Infinity : clock.monotonic() + DISTRUST_MS;
+    if (hasAnswered && storeFailedUntil > -Infinity) restoreEjected();
+    storeFailedUntil = hasAnswered ? -Infinity : clock.monotonic() + EJECTION_MS;
     if (read.ok) recordGuarded(table, sentAt);
     return read;
   };
 
-  const passOver = (box: BoxName, reason: DistrustReason) => {
-    if (!isTrusted(box)) return;
-    distrusted.set(box, { reason, until: clock.monotonic() + DISTRUST_MS });
+  const ejectBox = (box: BoxName, reason: EjectionReason) => {
+    if (!isUsable(box)) return;
+    ejected.set(box, { reason, until: clock.monotonic() + EJECTION_MS });
     options.onDistrust(box, reason);
   };
 
-  /** What ends one call to a box ends the others, only later: all that waits for the box goes on elsewhere. */
-  const endCalls = (box: BoxName, end: "silent" | "unreachable") => {
-    passOver(box, "no_answer");
-    // A connection that has gone silent stays so, while a new one may work.
+  /** Ejects a box whose call failed, and aborts its other calls: they would fail as well, only later, and continue elsewhere. */
+  const abortCalls = (box: BoxName, end: "silent" | "unreachable") => {
+    ejectBox(box, "no_answer");
+    // A connection that has gone silent stays silent, while a new one may work.
     if (end === "silent") links.renew(box);
-    for (const call of asked.get(box) ?? []) call.abort(end);
+    for (const call of openCalls.get(box) ?? []) call.abort(end);
   };
 
-  /** A box that has not answered by then is silent. */
-  const computePatience = (question: TableQuestion): Ms =>
+  /** Time after which a box without an answer counts as silent. */
+  const computeTimeout = (question: TableQuestion): Ms =>
     (question.kind === "whole" ? patience : question.wait + patience) as Ms;
 
-  /** What this one knows must not grow too old meanwhile, as behind a slow link. */
-  const computeGuardLeft = (question: TableQuestion): Ms => {
+  /** Time until the guarded table is too old to wait any longer for a box, as behind a slow link; infinite for other reads. */
+  const computeGuardTimeLeft = (question: TableQuestion): Ms => {
     const isBound = question.kind === "changes" && question.table === options.guard.table;
     if (!isBound) return Infinity as Ms;
     return Math.max(0, guardedAsOf + options.guard.age - clock.monotonic()) as Ms;
@@ -209,17 +219,17 @@
     box: BoxName,
     question: TableQuestion,
     outer: AbortSignal,
-  ): Promise<TableAnswer | AskEnd> => {
+  ): Promise<TableAnswer | AskProblem> => {
     const call = new AbortController();
     const abort = () => call.abort();
     const sentAt = clock.monotonic();
-    const usual = computePatience(question);
-    const guardLeft = computeGuardLeft(question);
-    // A box that was given less than its time may be sound: its link and its other calls stay.
-    const endCall = guardLeft < usual ? abort : () => endCalls(box, "silent");
-    const timer = clock.setTimer(Math.min(usual, guardLeft) as Ms, endCall);
-    const calls = asked.get(box) ?? new Set();
-    asked.set(box, calls.add(call));
+    const timeout = computeTimeout(question);
+    const guardTimeLeft = computeGuardTimeLeft(question);
+    // A box that had less than its full time may be healthy: its link and its other calls stay.
+    const onTimeout = guardTimeLeft < timeout ? abort : () => abortCalls(box, "silent");
+    const timer = clock.setTimer(Math.min(timeout, guardTimeLeft) as Ms, onTimeout);
+    const calls = openCalls.get(box) ?? new Set();
+    openCalls.set(box, calls.add(call));
     outer.addEventListener("abort", abort, { once: true });
     const answered = await links.ask(box, question, call.signal);
     outer.removeEventListener("abort", abort);
@@ -231,28 +241,28 @@
     }
     if (call.signal.aborted)
       return call.signal.reason === "unreachable" ? "unreachable" : "silent";
-    endCalls(box, "unreachable");
+    abortCalls(box, "unreachable");
     return "unreachable";
   };
 
   const hasLostStore = (answer: TableAnswer) =>
     "silence" in answer ? answer.silence > mostSilence : answer.kind === "not_known";
 
-  /** What the box tells, if that is of use. */
+  /** Asks one box, and ejects it if it has lost the store. */
   const askBox = async (
     box: BoxName,
     question: TableQuestion,
     signal: AbortSignal,
-  ): Promise<TableAnswer | AskEnd> => {
+  ): Promise<TableAnswer | AskProblem> => {
     const answer = await askWithin(box, question, signal);
     if (typeof answer === "string" || !hasLostStore(answer)) return answer;
-    passOver(box, "lost_the_store");
+    ejectBox(box, "lost_the_store");
     return "lost_the_store";
   };
 
   /**
-   * What the first box tells that is there and has not lost the store: the others say so at once, and need not be followed by
-   * calls to the store. A silent one has taken the time of others.
+   * Asks one box after another until one answers that has not lost the store. Boxes that are unreachable or have lost it fail
+   * fast, so the next one is asked instead of the store. Gives up after a silent box, which has used up the time for others.
    */
   const askInTurn = async (
     first: BoxName | undefined,
@@ -267,12 +277,12 @@
     return undefined;
   };
 
-  /** What any box knows, however old. */
+  /** Asks all linked boxes in turn for any answer, however old. */
   const askAll = async (
     question: TableQuestion,
     signal: AbortSignal,
   ): Promise<TableAnswer | undefined> => {
-    for (const box of listUpForSelf().filter(isTrusted)) {
+    for (const box of listUpRanked().filter(isUsable)) {
       if (signal.aborted) return undefined;
       const answer = await askWithin(box, question, signal);
       if (typeof answer !== "string" && answer.kind !== "not_known") return answer;
@@ -291,8 +301,8 @@
   };
 
   /**
-   * A box that knows nothing is better off with what is old than with nothing: its age goes with it. The store comes first;
-   * when it is silent, what others know serves callers a second sooner.
+   * Reads a table for the first time. An old table is better than none, as its age is known. The store comes first; when it is
+   * silent, the answer of another box lets this box serve callers a second earlier.
    */
   const readFirst = async (
     request: WholeRequest,
@@ -305,24 +315,24 @@
     );
     const early = await Promise.race([fromStore, waitFor(clock, STORE_FIRST_MS)]);
     if (early?.ok) return early;
-    const told = toSnapshot(
+    const snapshot = toSnapshot(
       await askAll({ kind: "whole", table, atLeast }, signal),
       atLeast,
     );
-    if (!told) return fromStore;
+    if (!snapshot) return fromStore;
     storeCall.abort();
-    return Ok(told);
+    return Ok(snapshot);
   };
 
   const readTable = async (
     request: WholeRequest,
   ): Promise<Result<TableSnapshot, StoreFailure>> => {
     const { table, atLeast, signal } = request;
-    if (compareRevisions(atLeast, BEFORE_ALL) === 0) return readFirst(request);
+    if (compareRevisions(atLeast, INITIAL_REVISION) === 0) return readFirst(request);
     const question = { kind: "whole", table, atLeast } as const;
     const answer = await askInTurn(chooseBox(), question, signal);
-    const told = toSnapshot(answer, atLeast);
-    if (told) return Ok(told);
+    const snapshot = toSnapshot(answer, atLeast);
+    if (snapshot) return Ok(snapshot);
     return callStore({ table, signal }, (limited) =>
       store.readTable({ ...request, signal: limited }),
     );
@@ -336,18 +346,18 @@
       callStore({ table, signal, wait: storeWait }, (limited) =>
         store.awaitChanges({ ...request, wait: storeWait, signal: limited }),
       );
-    const askedAt = clock.monotonic();
+    const sentAt = clock.monotonic();
     const box = await awaitLink(signal);
     if (box === undefined) return awaitAtStore(wait);
-    const left = wait * options.relayedWaits - (clock.monotonic() - askedAt);
+    const left = wait * options.relayedWaits - (clock.monotonic() - sentAt);
     const relayedWait = Math.max(0, left) as Ms;
     const question = { kind: "changes", table, since, wait: relayedWait } as const;
     const answer = await askInTurn(box, question, signal);
-    if (!answer) return awaitAtStore(AT_ONCE_MS);
+    if (!answer) return awaitAtStore(NO_WAIT_MS);
     if (answer.kind !== "changes") return Err({ kind: "history_gone" });
     const { changes, revision, age } = answer;
-    // As a box of an earlier release answers, which tells no era.
-    if (isEarlierRevision(revision, since)) return awaitAtStore(AT_ONCE_MS);
+    // A box of an earlier release sends no era, so its answer seems earlier than `since`.
+    if (isEarlierRevision(revision, since)) return awaitAtStore(NO_WAIT_MS);
     return Ok({ changes, revision, source: { kind: "box", age } });
   };
 
--- a/packages/peers/src/tableCodec.ts
+++ b/packages/peers/src/tableCodec.ts
@@ -1,6 +1,6 @@
-/** Questions for a table and their answers as bytes, and back; what another box sends is checked like any input. */
+/** Codec for table questions and their answers between boxes. Messages are validated like any input. */
 import type { Ms } from "@stairgauge/common";
-import { BEFORE_ALL, makeRevision, type RowChange } from "@stairgauge/storefeed";
+import { INITIAL_REVISION, makeRevision, type RowChange } from "@stairgauge/storefeed";
 import { z } from "zod";
 import {
   count,
@@ -20,7 +20,7 @@
   z.object({
     kind: z.literal("whole"),
     table: z.string(),
-    revision: count.default(BEFORE_ALL.version),
+    revision: count.default(INITIAL_REVISION.version),
     era: revisionFields.era,
   }),
   z.object({
@@ -77,7 +77,7 @@
   }
 };
 
-/** Decodes a question; throws on bytes that are none, as the transport expects of a decoder. */
+/** Decodes a question; throws on invalid bytes, as gRPC expects of a decoder. */
 export const decodeQuestion = (bytes: Buffer): TableQuestion => {
   const question = questionSchema.parse(parse(bytes));
   switch (question.kind) {
@@ -113,7 +113,7 @@
   }
 };
 
-/** Decodes an answer; throws on bytes that are none. */
+/** Decodes an answer; throws on invalid bytes. */
 export const decodeAnswer = (bytes: Buffer): TableAnswer => {
   const answer = answerSchema.parse(parse(bytes));
   switch (answer.kind) {
--- a/packages/peers/src/types.ts
+++ b/packages/peers/src/types.ts
@@ -1,6 +1,6 @@
 /**
- * What boxes tell each other. Runs that each has placed and servers that leave are advice; no promise rests on them.
- * Tables of the store are handed on with their age, by which promises are kept.
+ * Messages between boxes. The runs that each box has placed and the servers that leave are hints; no guarantee depends on them.
+ * Tables of the store are passed on with their age, and guarantees depend on that age.
  */
 import type { BoxName, DataHallName, Ms } from "@stairgauge/common";
 import type { CrashUpdate } from "@stairgauge/crashes";
@@ -11,7 +11,7 @@
   StoreRevision,
   UnsettledRows,
 } from "@stairgauge/storefeed";
-import type { LeavingBasis, ServerAddress, ServerId } from "@stairgauge/directory";
+import type { LeavingEvidence, ServerAddress, ServerId } from "@stairgauge/directory";
 import type {
   EngineReport,
   MoveTarget,
@@ -24,48 +24,49 @@
 
 export type { PlaceQuestion } from "@stairgauge/placement";
 
-/** A box, where it stands, and how much it can hand on to others beside its own work, in proportion to what others can. */
+/** A box as others see it. */
 export type Member = Readonly<{
   box: BoxName;
+  /** How much the box can pass on to others besides its own work, relative to other boxes. */
   capacity: number;
-  /** Absent for a box that is known by its address only. */
+  /** Undefined for a box that is known by its address only. */
   dataHall?: DataHallName | undefined;
 }>;
 
-/** A box that takes part, and where it listens. */
+/** A box, and the address at which it accepts calls of other boxes. */
 export type Peer = Member & Readonly<{ address: ServerAddress }>;
 
-/** A server that leaves, and what the box that tells it rests on. */
-export type SharedLeaving = Readonly<{ server: ServerId; basis: LeavingBasis }>;
+/** A server that leaves, and the evidence that the reporting box has. */
+export type SharedLeaving = Readonly<{ server: ServerId; basis: LeavingEvidence }>;
 
-/** A report that a box has just had from an engine. */
+/** A report that a box has just received from an engine. */
 export type SharedReport = Readonly<{ server: ServerId; report: EngineReport }>;
 
-/** Changes of one box's runs, or all of them. */
+/** Changes to the runs of one box, or all its runs, along with other updates from the box. */
 export type RunUpdate = Readonly<{
   box: BoxName;
-  /** The whole state: what it does not name is gone. */
+  /** The update lists the whole state: runs that it does not list are gone. */
   isWhole: boolean;
   put: readonly Readonly<{ server: ServerId; run: PlacedRun }>[];
   drop: readonly Readonly<{ server: ServerId; id: string }>[];
-  /** Servers that get no new work, as far as the box knows. */
+  /** Servers that should get no new work, according to the box. */
   leaving: readonly SharedLeaving[];
-  /** Reports that came since the last update. */
+  /** Reports that the box received since its last update. */
   reports: readonly SharedReport[];
-  /** Servers that broke requests of the box off before they answered. */
+  /** Servers that broke off requests of the box before they answered. */
   broken: readonly ServerId[];
-  /** Requests under which servers ended, as the box has seen it, or all that it knows. */
+  /** Requests under which servers crashed: those newly seen by the box, or all that it has on record. */
   crashes: CrashUpdate;
-  /** Limits that servers name, as the box has heard them, or all that it knows. */
+  /** Limits that servers have named: those newly received by the box, or all that it has on record. */
   limits: LimitUpdate;
 }>;
 
-/** Rows of one table that count at a box against the store's word. */
+/** Rows of one table in which a box deviates from the store, after the store was restored from a backup. */
 export type SharedUnsettledRows = UnsettledRows & Readonly<{ table: string }>;
 
 /**
- * What a box tells those that are linked to it: of servers at which they have runs, requests that end servers, limits, and
- * what it knows beyond the copy that the store has come back from.
+ * A message from a box to those that are linked to it: leaving servers at which they have runs, requests under which servers
+ * crashed, limits of servers, and rows that the backup lacks from which the store was restored.
  */
 export type HubNotice = Readonly<{
   leaving: readonly SharedLeaving[];
@@ -74,9 +75,9 @@
   unsettled: readonly SharedUnsettledRows[];
 }>;
 
-/** What one box asks another of a table: all of it, or its changes as soon as there is news. */
+/** A box's request for a table to another box: the whole table, or its changes as soon as there are any. */
 export type TableQuestion = Readonly<
-  /** A state from that revision on is of use. */
+  /** An answer is useful from the revision `atLeast` on. */
   | { kind: "whole"; table: string; atLeast: StoreRevision }
   | { kind: "changes"; table: string; since: StoreRevision; wait: Ms }
 >;
@@ -84,11 +85,11 @@
 type AnswerAges = Readonly<{
   /** How long ago the answer was true at the store, at most. */
   age: Ms;
-  /** How long ago the box that answers heard the store at all, at most. */
+  /** How long ago the answering box last received an answer from the store, at most. */
   silence: Ms;
 }>;
 
-/** The answer. */
+/** The answer to a table question; `not_known` when the box has not read the table yet. */
 export type TableAnswer = Readonly<
   | ({ kind: "whole"; rows: readonly StoredRow[]; revision: StoreRevision } & AnswerAges)
   | ({
@@ -100,7 +101,7 @@
   | { kind: "history_gone" }
 >;
 
-/** The hub's choice, with the figures that made it. */
+/** The hub's choice of a server, with the figures behind it. */
 export type PlaceAnswer = Readonly<
   | {
       kind: "placed";
@@ -121,14 +122,14 @@
     }
 >;
 
-/** What leaves an engine and where to: all boxes with runs there ask the same hub, and plan alike. */
+/** Asks which runs leave an engine and where to. All boxes with runs there ask the same hub, and so follow the same plan. */
 export type MovesQuestion = Readonly<{
   server: ServerId;
-  /** As things are now, not as they were when the engine began to leave. */
+  /** Whether to plan from the current state, not from the state when the engine began to leave. */
   isFresh: boolean;
 }>;
 
-/** The answer. */
+/** The answer to a moves question. */
 export type MovesAnswer = Readonly<
   | { kind: "moves"; runs: readonly RunToMove[]; targets: readonly MoveTarget[] }
   | { kind: "not_known" }
--- a/packages/peers/src/updateCodec.ts
+++ b/packages/peers/src/updateCodec.ts
@@ -1,13 +1,13 @@
-/** Updates as bytes, and back; what another box sends is checked like any input. */
+/** Codec for updates and notices between boxes. Messages are validated like any input. */
 import type { BoxName, Ms } from "@stairgauge/common";
 import {
-  NO_CRASH_NEWS,
+  NO_CRASH_UPDATE,
   REQUEST_DIGEST,
   type CrashUpdate,
   type RequestDigest,
 } from "@stairgauge/crashes";
-import type { LeavingBasis, ServerId } from "@stairgauge/directory";
-import { NO_LIMIT_NEWS, type LimitUpdate } from "@stairgauge/limits";
+import type { LeavingEvidence, ServerId } from "@stairgauge/directory";
+import { NO_LIMIT_UPDATE, type LimitUpdate } from "@stairgauge/limits";
 import type { PlacedRun } from "@stairgauge/placement";
 import { z } from "zod";
 import { count, rowSchema, toWireRow } from "./rowCodec.js";
@@ -19,7 +19,7 @@
   SharedUnsettledRows,
 } from "./types.js";
 
-/** A placed run on the wire. */
+/** A placed run in a message. */
 export const runSchema = z.object({
   id: z.string(),
   prompt: z.number().nonnegative(),
@@ -30,7 +30,7 @@
 
 type WireRun = z.infer<typeof runSchema>;
 
-/** Puts a run into the form that it has on the wire. */
+/** Converts a run to its form in a message. */
 export const toWireRun = (run: PlacedRun): WireRun => ({
   id: run.id,
   prompt: run.promptTokens,
@@ -39,7 +39,7 @@
   movable: run.isMovable,
 });
 
-/** Takes a run from the form that it has on the wire. */
+/** Converts a run from its form in a message. */
 export const fromWireRun = ({ id, prompt, out, begun, movable }: WireRun): PlacedRun => ({
   id,
   promptTokens: prompt,
@@ -67,9 +67,9 @@
 const leavingSchema = z.array(
   z.object({
     server: z.string(),
-    /** Known from the entry that is gone only. */
+    /** The only evidence is that the server's entry is gone. */
     gone: z.boolean(),
-    /** The server's own word; boxes of earlier versions don't tell. */
+    /** The server announced it itself; boxes of earlier releases omit this. */
     own: z.boolean().default(false),
   }),
 );
@@ -138,19 +138,19 @@
   runs: report.runs.map((run) => [run.id, run.tokensInMemory, run.eventsMade]),
 });
 
-const decodeReport = (told: z.infer<typeof reportSchema>): SharedReport => ({
-  server: told.server as ServerId,
+const decodeReport = (message: z.infer<typeof reportSchema>): SharedReport => ({
+  server: message.server as ServerId,
   report: {
-    // The id that it is told under names the start.
+    // The server's id contains the start time.
     startedAt: undefined,
-    isLeaving: told.leaving,
-    leavesIn: told.leavesIn as Ms | undefined,
-    waiting: told.waiting,
-    firstWaitingTokens: told.firstWaiting,
-    running: told.running,
-    memoryUsed: told.used,
-    memoryTotal: told.total,
-    runs: told.runs.map(([id, tokensInMemory, eventsMade]) => ({
+    isLeaving: message.leaving,
+    leavesIn: message.leavesIn as Ms | undefined,
+    waiting: message.waiting,
+    firstWaitingTokens: message.firstWaiting,
+    running: message.running,
+    memoryUsed: message.used,
+    memoryTotal: message.total,
+    runs: message.runs.map(([id, tokensInMemory, eventsMade]) => ({
       id,
       tokensInMemory,
       eventsMade,
@@ -167,46 +167,51 @@
     ...(basis === "own_word" && { own: true }),
   }));
 
-const toBasis = (told: Readonly<{ gone: boolean; own: boolean }>): LeavingBasis => {
-  if (told.own) return "own_word";
-  return told.gone ? "entry_gone" : "concluded";
+const toBasis = (message: Readonly<{ gone: boolean; own: boolean }>): LeavingEvidence => {
+  if (message.own) return "own_word";
+  return message.gone ? "entry_gone" : "concluded";
 };
 
 const decodeLeaving = (
   leaving: z.infer<typeof leavingSchema>,
 ): readonly SharedLeaving[] =>
-  leaving.map((told) => ({ server: told.server as ServerId, basis: toBasis(told) }));
+  leaving.map((message) => ({
+    server: message.server as ServerId,
+    basis: toBasis(message),
+  }));
 
-/** News of which there is none takes no bytes. */
+/** Left out of the message when empty. */
 const encodeCrashes = (crashes: CrashUpdate) =>
   crashes.ends.length + crashes.served.length > 0 ? { crashes } : {};
 
-const decodeCrashes = (told: z.infer<typeof crashesSchema> | undefined): CrashUpdate =>
-  told === undefined
-    ? NO_CRASH_NEWS
+const decodeCrashes = (
+  message: z.infer<typeof crashesSchema> | undefined,
+): CrashUpdate =>
+  message === undefined
+    ? NO_CRASH_UPDATE
     : {
-        ends: told.ends.map(({ digest, server, age }) => ({
+        ends: message.ends.map(({ digest, server, age }) => ({
           digest: digest as RequestDigest,
           server: server as ServerId,
           age: age as Ms,
         })),
-        served: told.served.map((digest) => digest as RequestDigest),
+        served: message.served.map((digest) => digest as RequestDigest),
       };
 
 const encodeLimits = (limits: LimitUpdate) =>
   limits.named.length + limits.lifted.length > 0 ? { limits } : {};
 
-const decodeLimits = (told: z.infer<typeof limitsSchema> | undefined): LimitUpdate =>
-  told === undefined
-    ? NO_LIMIT_NEWS
+const decodeLimits = (message: z.infer<typeof limitsSchema> | undefined): LimitUpdate =>
+  message === undefined
+    ? NO_LIMIT_UPDATE
     : {
-        named: told.named.map(({ server, perSecond, knownFor, age }) => ({
+        named: message.named.map(({ server, perSecond, knownFor, age }) => ({
           server: server as ServerId,
           perSecond,
           knownFor: knownFor as Ms,
           age: age as Ms,
         })),
-        lifted: told.lifted.map(({ server, age }) => ({
+        lifted: message.lifted.map(({ server, age }) => ({
           server: server as ServerId,
           age: age as Ms,
         })),
@@ -240,7 +245,7 @@
     }),
   );
 
-/** Decodes a notice; throws on bytes that are none, as the transport expects of a decoder. */
+/** Decodes a notice; throws on invalid bytes, as gRPC expects of a decoder. */
 export const decodeNotice = (bytes: Buffer): HubNotice => {
   const notice = noticeSchema.parse(JSON.parse(bytes.toString("utf8")));
   return {
@@ -267,7 +272,7 @@
     }),
   );
 
-/** Decodes an update; throws on bytes that are none, as the transport expects of a decoder. */
+/** Decodes an update; throws on invalid bytes, as gRPC expects of a decoder. */
 export const decodeUpdate = (bytes: Buffer): RunUpdate => {
   const update = updateSchema.parse(JSON.parse(bytes.toString("utf8")));
   return {
--- a/packages/peers/src/watchShares.ts
+++ b/packages/peers/src/watchShares.ts
@@ -1,51 +1,51 @@
 /**
- * Which boxes ask an engine for its report. Two of the hubs, so that a frozen one leaves no gap; they tell the other hubs, and
- * the calls at an engine do not grow with the boxes.
+ * Chooses the boxes that poll an engine for its report: two of the hubs, so that reports still arrive when one is frozen. They
+ * send the reports to the other hubs, so the number of calls to an engine does not grow with the number of boxes.
  */
 import type { BoxName } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { PeerLinks } from "./peerLinks.js";
 import { rankByHash } from "./rankStoreReaders.js";
 
-/** Boxes that watch one engine. */
-const WATCHERS = 2;
+/** Number of boxes that poll one engine. */
+const WATCHERS_PER_ENGINE = 2;
 
-/** What this box watches. */
+/** Which engines this box polls. */
 export type WatchShares = Readonly<{
   isWatcher: (server: ServerId) => boolean;
-  /** How many boxes watch each engine; alone, a box watches them all by itself. */
+  /** How many boxes poll each engine; 1 when the box is alone. */
   countWatchers: () => number;
 }>;
 
-/** Shares engines out among the hubs. */
+/** Distributes the engines among the hubs. */
 export const createWatchShares = (
   own: BoxName,
   links: Pick<PeerLinks, "listHubs">,
 ): WatchShares => {
   let members: ReadonlySet<BoxName> = new Set([own]);
-  let known = new Map<ServerId, boolean>();
+  let isWatcherByServer = new Map<ServerId, boolean>();
 
   const updateMembers = () => {
     const hubs = links.listHubs();
     if (hubs.length === members.size && hubs.every((box) => members.has(box))) return;
     members = new Set(hubs);
-    known = new Map();
+    isWatcherByServer = new Map();
   };
 
   return {
     isWatcher: (server) => {
       updateMembers();
-      const isKnown = known.get(server);
-      if (isKnown !== undefined) return isKnown;
-      const isOurs = rankByHash([...members], server)
-        .slice(0, WATCHERS)
+      const cached = isWatcherByServer.get(server);
+      if (cached !== undefined) return cached;
+      const isOwn = rankByHash([...members], server)
+        .slice(0, WATCHERS_PER_ENGINE)
         .includes(own);
-      known.set(server, isOurs);
-      return isOurs;
+      isWatcherByServer.set(server, isOwn);
+      return isOwn;
     },
     countWatchers: () => {
       updateMembers();
-      return Math.min(WATCHERS, members.size);
+      return Math.min(WATCHERS_PER_ENGINE, members.size);
     },
   };
 };
--- a/packages/storefeed/src/index.ts
+++ b/packages/storefeed/src/index.ts
@@ -1,19 +1,19 @@
 /** Follows tables of the platform's store. */
 export type * from "./types.js";
 export {
-  INITIAL_REVISION as BEFORE_ALL,
+  INITIAL_REVISION,
   compareRevisions,
   isEarlierRevision,
   makeRevision,
   pickLaterRevision,
-  UNKNOWN_ERA as UNTOLD_ERA,
+  UNKNOWN_ERA,
 } from "./revision.js";
 export type { StoreRevision } from "./revision.js";
-export { createRevisionWatermark as createRevisionMark } from "./revisionWatermark.js";
+export { createRevisionWatermark } from "./revisionWatermark.js";
 export type {
   EraChange,
-  RevisionWatermark as RevisionMark,
-  ObservedRevision as RevisionSighting,
+  RevisionWatermark,
+  ObservedRevision,
 } from "./revisionWatermark.js";
 export { createTableFollower, NEW_ERA } from "./tableFollower.js";
 export { createTableMirror } from "./tableMirror.js";
--- a/packages/storefeed/src/restoreGuard.ts
+++ b/packages/storefeed/src/restoreGuard.ts
@@ -45,8 +45,9 @@
   /** Rows received from other boxes before the table was read. */
   const deferredUnsettled: UnsettledRows[] = [];
   let notifyInner: (change: RowChange) => void = () => undefined;
-  /** By key: when a row ends deviating from the store. */
+  /** By key: the timer after which a row no longer deviates from the store. */
   const timers = new Map<string, Timer>();
+  /** Of the latest answer; undefined before the first read. */
   let last: Readonly<{ asOf: Ms; revision: StoreRevision }> | undefined;
   /** Versions of the current era up to this one may stem from the backup. */
   let backupVersion = -Infinity;
--- a/packages/storefeed/src/tableFollower.test.ts
+++ b/packages/storefeed/src/tableFollower.test.ts
@@ -9,8 +9,8 @@
   type Result,
 } from "@stairgauge/common";
 import {
-  BEFORE_ALL,
-  createRevisionMark,
+  INITIAL_REVISION,
+  createRevisionWatermark,
   createTableFollower,
   makeRevision,
   type StoreFailure,
@@ -38,7 +38,11 @@
 });
 
 /** The reader answers with one step after another; a call that does not match its step fails the test. */
-const setUp = (steps: readonly Step[], gather = 0, revisions = createRevisionMark()) => {
+const setUp = (
+  steps: readonly Step[],
+  gather = 0,
+  revisions = createRevisionWatermark(),
+) => {
   const clock = createVirtualClock();
   const events: string[] = [];
   const calls: string[] = [];
@@ -215,7 +219,7 @@
   });
 
   it("is read whole for every table, without a failure, once an answer for one table shows the new era", async () => {
-    const revisions = createRevisionMark();
+    const revisions = createRevisionWatermark();
     const { clock, follower, events, calls } = setUp(
       [
         { whole: Ok({ rows: [], revision: toRevision(9), source }) },
@@ -264,7 +268,7 @@
   });
 
   it("is asked for any revision by a follower that has read nothing, also when the watermark is later", async () => {
-    const revisions = createRevisionMark();
+    const revisions = createRevisionWatermark();
     revisions.raise({ table: "other", by: "store", revision: RESTORED });
     const { clock, follower, requestedRevisions } = setUp(
       [
@@ -277,6 +281,6 @@
     follower.start();
     await advanceSettled(clock, 150 as Ms);
     follower.stop();
-    expect(requestedRevisions).toEqual([BEFORE_ALL, BEFORE_ALL]);
+    expect(requestedRevisions).toEqual([INITIAL_REVISION, INITIAL_REVISION]);
   });
 });
