--- a/packages/limits/src/gatherRenewals.test.ts
+++ b/packages/limits/src/gatherRenewals.test.ts
@@ -1,4 +1,7 @@
-/** The load: a hundred servers are in need, and a hub hears each of them again every second, at other moments. */
+/**
+ * Scenario: a hundred servers name limits, and a hub receives a renewal from each of them every
+ * second, at different moments.
+ */
 import { describe, expect, it } from "vitest";
 import { createVirtualClock, type Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
@@ -11,7 +14,7 @@
 const setUp = (known: ReadonlySet<ServerId>) => {
   const clock = createVirtualClock();
   const sent: LimitUpdate[] = [];
-  const takeRenewal = createRenewalGatherer({
+  const collectRenewal = createRenewalGatherer({
     clock,
     getBook: () => ({
       makeUpdate: (servers = known) => ({
@@ -21,15 +24,15 @@
         lifted: [],
       }),
     }),
-    send: (news) => sent.push(news),
+    send: (update) => sent.push(update),
   });
   const recordRenewal = (server: ServerId) =>
-    takeRenewal({ named: [{ server, ...KNOWN, age: 0 as Ms }], lifted: [] });
+    collectRenewal({ named: [{ server, ...KNOWN, age: 0 as Ms }], lifted: [] });
   return { clock, sent, recordRenewal };
 };
 
-describe("limits that a hub hears again", () => {
-  it("go out twice a second at most, however many servers are in need, as they stand then", () => {
+describe("createRenewalGatherer", () => {
+  it("sends at most two updates per second for any number of limited servers, with the values on record at that time", () => {
     const { clock, sent, recordRenewal } = setUp(new Set(SERVERS));
     for (let second = 0; second < 5; second += 1)
       for (const server of SERVERS) {
@@ -38,12 +41,12 @@
       }
     clock.advance(1_000 as Ms);
     expect(sent.length).toBeLessThanOrEqual(11);
-    const named = sent.flatMap((news) => news.named);
+    const named = sent.flatMap((update) => update.named);
     expect(new Set(named.map(({ server }) => server))).toEqual(new Set(SERVERS));
     expect(named.every(({ age }) => age === KNOWN.age)).toBe(true);
   });
 
-  it("go out no more once they have ended meanwhile", () => {
+  it("sends nothing for a limit that has ended before the batch is sent", () => {
     const { clock, sent, recordRenewal } = setUp(new Set());
     recordRenewal(SERVERS[0]!);
     clock.advance(1_000 as Ms);
--- a/packages/limits/src/gatherRenewals.ts
+++ b/packages/limits/src/gatherRenewals.ts
@@ -1,34 +1,43 @@
-/** Gathers limits that are heard again, so that what a hub hands on doesn't grow with the servers in need. */
+/**
+ * Batches renewals of limits, so that the number of messages that a hub forwards doesn't grow with
+ * the number of limited servers.
+ */
 import type { Clock, Ms, Timer } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { LimitRegistry } from "./limitRegistry.js";
 import type { LimitUpdate } from "./types.js";
 
-/** Renewals within this time go out together: a box counts a limit as old after much longer. */
+/**
+ * Renewals within this time are sent together. It is far shorter than the age at which a limit is
+ * dropped.
+ */
 const GATHER_MS = 500 as Ms;
 
-/** What gathering needs. */
+/** Dependencies of the renewal batching. */
 export type RenewalOptions = Readonly<{
   clock: Pick<Clock, "setTimer">;
   getBook: () => Pick<LimitRegistry, "makeUpdate">;
-  send: (news: LimitUpdate) => void;
+  send: (update: LimitUpdate) => void;
 }>;
 
-/** Creates the gatherer: the function takes renewals, which go out as they stand when their time is over. */
+/**
+ * Creates a function that collects renewals. They are sent with the values on record when the batch
+ * interval ends.
+ */
 export const createRenewalGatherer = (options: RenewalOptions) => {
-  const { clock, getBook, send } = options;
+  const { clock, getBook: getRegistry, send } = options;
   const servers = new Set<ServerId>();
   let timer: Timer | undefined;
 
   const sendGathered = () => {
     timer = undefined;
-    const news = getBook().makeUpdate(servers);
+    const update = getRegistry().makeUpdate(servers);
     servers.clear();
-    if (news.named.length > 0) send(news);
+    if (update.named.length > 0) send(update);
   };
 
-  return (news: LimitUpdate): void => {
-    for (const { server } of news.named) servers.add(server);
+  return (update: LimitUpdate): void => {
+    for (const { server } of update.named) servers.add(server);
     timer ??= clock.setTimer(GATHER_MS, sendGathered);
   };
 };
--- a/packages/limits/src/index.ts
+++ b/packages/limits/src/index.ts
@@ -1,6 +1,9 @@
-/** Limits that backend servers in need name in their answers, and what boxes that know one send. */
+/**
+ * Limits that overloaded backend servers name in their answers, and how much each box may send
+ * under them.
+ */
 export type * from "./types.js";
-export { NO_LIMIT_UPDATE as NO_LIMIT_NEWS } from "./constants.js";
+export { NO_LIMIT_UPDATE } from "./constants.js";
 export { createRenewalGatherer } from "./gatherRenewals.js";
 export { createServerLimits } from "./serverLimits.js";
 export type {
@@ -8,5 +11,5 @@
   LimitedDemand,
   ServerLimits,
   ServerLimitsOptions,
-  FilteredServers as SiftedServers,
+  FilteredServers,
 } from "./serverLimits.js";
--- a/packages/limits/src/limitRegistry.ts
+++ b/packages/limits/src/limitRegistry.ts
@@ -1,7 +1,9 @@
 /**
- * Which servers have named a limit, by what they say in their answers to this box and to others. A limit holds from the first answer
- * with it until an answer proves that the server no longer names it: one to a request that was sent long enough after the last
- * answer with the limit that any box is known to have had. Pure but for the clock handed in.
+ * Registry of the limits that servers name, from their answers to this box and to others.
+ *
+ * A limit holds from the first answer with it until an answer shows that the server no longer names
+ * it: an answer to a request that was sent long enough after the last known answer with the limit
+ * to any box. Pure but for the clock passed in.
  */
 import { assertNever, type BoxName, type Clock, type Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
@@ -11,8 +13,8 @@
   MIN_SINGLE_HOLD_MS,
   MAX_SINGLE_HOLD_MS,
   NO_LIMIT_UPDATE,
-  RETELL_MS,
-  TELLING_ANSWERS,
+  RENEWAL_INTERVAL_MS,
+  LIFTING_ANSWERS,
 } from "./constants.js";
 import type {
   KnownLimit,
@@ -22,47 +24,55 @@
   SharedLimit,
 } from "./types.js";
 
-/** What a book is given. */
+/** Options of a limit registry. */
 export type LimitRegistryOptions = Readonly<{
-  /** A clock by which ages are proved. */
+  /** Clock for ages. It must include the time in which the machine is suspended. */
   clock: Pick<Clock, "monotonic">;
-  /** Whether a server is listed: of others nothing is kept. */
+  /**
+   * Whether a server is listed. Limits that other boxes report for unlisted servers are ignored.
+   */
   isListed: (server: ServerId) => boolean;
-  /** This box has heard something that others are to know. */
-  onOwnUpdate: (news: LimitUpdate) => void;
-  /** Something is news here, whoever said so: boxes that hear this one alone need it, at once or, a renewal, in time. */
-  onSharedUpdate: (news: LimitUpdate, isRenewal: boolean) => void;
+  /** This box has received something from a server that other boxes need. */
+  onOwnUpdate: (update: LimitUpdate) => void;
+  /**
+   * Something new was recorded, from whichever source. Boxes that are connected to this one only
+   * need it: at once, or later if it is a renewal.
+   */
+  onSharedUpdate: (update: LimitUpdate, isRenewal: boolean) => void;
   onEvent: (event: LimitEvent) => void;
 }>;
 
-/** The book of one box. */
+/** The limits on record at one box. */
 export type LimitRegistry = Readonly<{
   /**
-   * A server has answered this box; `sentAgo` is the time since its request was sent, undefined for calls in whose answers a server
-   * may name a limit and need not.
+   * Handles a server's answer to this box. `sentAgo` is the time since its request was sent;
+   * undefined for calls in whose answers the server may omit its limit.
    */
-  applySignal: (server: ServerId, sign: LimitSignal, sentAgo: Ms | undefined) => void;
-  /** Another box tells. */
-  applyUpdate: (news: LimitUpdate, by: BoxName) => void;
+  applySignal: (server: ServerId, signal: LimitSignal, sentAgo: Ms | undefined) => void;
+  /** Handles an update from another box. */
+  applyUpdate: (update: LimitUpdate, by: BoxName) => void;
   find: (server: ServerId) => KnownLimit | undefined;
   isEmpty: () => boolean;
-  /** What is known of the servers given; of all, for a box that is new to this one. */
+  /**
+   * Makes an update with the limits on record of the servers given, or of all servers, for a newly
+   * connected box.
+   */
   makeUpdate: (servers?: Iterable<ServerId>) => LimitUpdate;
   forget: (server: ServerId) => void;
 }>;
 
-type Kept = Readonly<{
+type LimitRecord = Readonly<{
   perSecond: number;
   firstAt: number;
   lastAt: number;
-  /** The `lastAt` that was handed on last. */
+  /** The `lastAt` that was last sent to other boxes. */
   sharedAt: number;
-  /** Answers without it that this box has had since. */
+  /** Answers without the limit that this box has received since `lastAt`. */
   unnamed: number;
 }>;
 
-/** Something heard of a limit: when, and from whom. */
-type Heard = Readonly<{
+/** When a limit or its end was observed, and by whom. */
+type Observation = Readonly<{
   server: ServerId;
   at: number;
   by: BoxName | "itself";
@@ -70,42 +80,52 @@
 
 const MS_PER_S = 1_000;
 
-const computeTellingTime = (perSecond: number): number =>
-  (TELLING_ANSWERS / perSecond) * MS_PER_S;
+const computeLiftingTime = (perSecond: number): number =>
+  (LIFTING_ANSWERS / perSecond) * MS_PER_S;
 
-/** Works out how long after the last answer with a limit a single answer without it says nothing. */
+/**
+ * Computes for how long after the last answer with a limit a single answer without it is not enough
+ * to lift it.
+ */
 const computeSingleHold = (perSecond: number): number =>
   Math.min(
     MAX_SINGLE_HOLD_MS,
-    Math.max(MIN_SINGLE_HOLD_MS, computeTellingTime(perSecond)),
+    Math.max(MIN_SINGLE_HOLD_MS, computeLiftingTime(perSecond)),
   );
 
 const computeMemory = (perSecond: number): number =>
-  Math.max(MIN_MEMORY_MS, computeTellingTime(perSecond));
+  Math.max(MIN_MEMORY_MS, computeLiftingTime(perSecond));
 
-/** Creates an empty book. */
+/** Creates an empty registry. */
 export const createLimitRegistry = (options: LimitRegistryOptions): LimitRegistry => {
   const { clock, isListed, onOwnUpdate, onSharedUpdate, onEvent } = options;
-  const limits = new Map<ServerId, Kept>();
-  /** When requests were sent whose answers lifted a limit: what was heard before and is told late says nothing. */
+  const limits = new Map<ServerId, LimitRecord>();
+  /**
+   * When the requests were sent whose answers lifted a limit. Observations from before that arrive
+   * late are ignored.
+   */
   const liftedAt = new Map<ServerId, number>();
-  /** What servers have named last that is no limit, so that each is told once. */
+  /** The last invalid limit that each server named, so that each is reported once. */
   const unreadable = new Map<ServerId, string>();
 
-  const toBox = (by: Heard["by"]) => (by === "itself" ? undefined : by);
-  const tellNews = (news: LimitUpdate, by: Heard["by"], isRenewal = false) => {
-    if (by === "itself") onOwnUpdate(news);
-    onSharedUpdate(news, isRenewal);
+  const toBox = (by: Observation["by"]) => (by === "itself" ? undefined : by);
+  const publishUpdate = (
+    update: LimitUpdate,
+    by: Observation["by"],
+    isRenewal = false,
+  ) => {
+    if (by === "itself") onOwnUpdate(update);
+    onSharedUpdate(update, isRenewal);
   };
 
   const find = (server: ServerId): KnownLimit | undefined => {
-    const kept = limits.get(server);
-    if (!kept) return undefined;
+    const record = limits.get(server);
+    if (!record) return undefined;
     const now = clock.monotonic();
-    const { perSecond } = kept;
-    const age = Math.max(0, now - kept.lastAt) as Ms;
+    const { perSecond } = record;
+    const age = Math.max(0, now - record.lastAt) as Ms;
     if (age < computeMemory(perSecond))
-      return { perSecond, knownFor: (now - kept.firstAt) as Ms, age };
+      return { perSecond, knownFor: (now - record.firstAt) as Ms, age };
     limits.delete(server);
     onEvent({ kind: "run_out", server, age });
     return undefined;
@@ -118,21 +138,21 @@
     return named.length > 0 ? { named, lifted: [] } : NO_LIMIT_UPDATE;
   };
 
-  const recordNamed = (heard: Heard, perSecond: number, firstAt: number) => {
-    const { server, at, by } = heard;
-    const endedAt = liftedAt.get(server) ?? -Infinity;
-    if (at <= endedAt) return;
+  const recordNamed = (observation: Observation, perSecond: number, firstAt: number) => {
+    const { server, at, by } = observation;
+    const liftedBefore = liftedAt.get(server) ?? -Infinity;
+    if (at <= liftedBefore) return;
     const known = find(server);
-    const kept = limits.get(server);
-    const isNewest = !kept || at >= kept.lastAt;
+    const record = limits.get(server);
+    const isNewest = !record || at >= record.lastAt;
     const isChange = isNewest && known?.perSecond !== perSecond;
-    const isDue = isChange || at - (kept?.sharedAt ?? -Infinity) >= RETELL_MS;
+    const isDue = isChange || at - (record?.sharedAt ?? -Infinity) >= RENEWAL_INTERVAL_MS;
     limits.set(server, {
-      perSecond: isNewest ? perSecond : kept.perSecond,
-      // A box that has not heard of the end tells how long it has known the limit before.
-      firstAt: Math.max(endedAt, Math.min(firstAt, kept?.firstAt ?? Infinity)),
-      lastAt: Math.max(at, kept?.lastAt ?? -Infinity),
-      sharedAt: isDue ? at : (kept?.sharedAt ?? -Infinity),
+      perSecond: isNewest ? perSecond : record.perSecond,
+      // A box that has not received the lift reports how long it has had the limit before.
+      firstAt: Math.max(liftedBefore, Math.min(firstAt, record?.firstAt ?? Infinity)),
+      lastAt: Math.max(at, record?.lastAt ?? -Infinity),
+      sharedAt: isDue ? at : (record?.sharedAt ?? -Infinity),
       unnamed: 0,
     });
     if (isChange) {
@@ -140,75 +160,81 @@
       const kind = known ? "changed" : "named";
       onEvent({ kind, server, perSecond, age, by: toBox(by) });
     }
-    if (isDue) tellNews(makeUpdate([server]), by, !isChange);
+    if (isDue) publishUpdate(makeUpdate([server]), by, !isChange);
   };
 
-  /** A request that was sent so long after the last answer with the limit was answered without it. */
-  const isProof = ({ perSecond, unnamed }: Kept, sentAfter: number): boolean => {
-    const isRow = unnamed >= TELLING_ANSWERS;
-    return sentAfter >= (isRow ? MIN_HOLD_MS : computeSingleHold(perSecond));
+  /**
+   * Whether an answer without the limit lifts it, by the time from the last answer with it to the
+   * sending of the request.
+   */
+  const isProof = ({ perSecond, unnamed }: LimitRecord, sentAfter: number): boolean => {
+    const isEnoughInARow = unnamed >= LIFTING_ANSWERS;
+    return sentAfter >= (isEnoughInARow ? MIN_HOLD_MS : computeSingleHold(perSecond));
   };
-  const takeUnnamed = (server: ServerId, sentAgo: Ms) => {
-    const kept = find(server) && limits.get(server);
-    if (!kept) return;
+  const handleUnnamed = (server: ServerId, sentAgo: Ms) => {
+    const record = find(server) && limits.get(server);
+    if (!record) return;
     const sentAt = clock.monotonic() - sentAgo;
-    if (sentAt < kept.lastAt) return;
-    const counted = { ...kept, unnamed: kept.unnamed + 1 };
+    if (sentAt < record.lastAt) return;
+    const counted = { ...record, unnamed: record.unnamed + 1 };
     limits.set(server, counted);
-    if (isProof(counted, sentAt - kept.lastAt))
+    if (isProof(counted, sentAt - record.lastAt))
       endLimit({ server, at: sentAt, by: "itself" });
   };
-  /** Whoever tells it has the proof; it holds here if nothing was heard of the limit since. */
-  const takeLift = ({ server, at: sentAt, by }: Heard) => {
-    const kept = find(server) && limits.get(server);
-    if (kept && sentAt - kept.lastAt >= MIN_HOLD_MS) endLimit({ server, at: sentAt, by });
+  /**
+   * Applies a lift that another box has proved, unless this box has a later answer with the limit.
+   */
+  const applyLift = ({ server, at: sentAt, by }: Observation) => {
+    const record = find(server) && limits.get(server);
+    if (record && sentAt - record.lastAt >= MIN_HOLD_MS)
+      endLimit({ server, at: sentAt, by });
   };
-  const endLimit = ({ server, at: sentAt, by }: Heard) => {
+  const endLimit = ({ server, at: sentAt, by }: Observation) => {
     const known = find(server)!;
     limits.delete(server);
     liftedAt.set(server, sentAt);
     onEvent({ kind: "lifted", server, age: known.age, by: toBox(by) });
     const age = (clock.monotonic() - sentAt) as Ms;
-    tellNews({ named: [], lifted: [{ server, age }] }, by);
+    publishUpdate({ named: [], lifted: [{ server, age }] }, by);
   };
 
-  const takeNamed = (server: ServerId, perSecond: number) => {
+  const handleNamed = (server: ServerId, perSecond: number) => {
     const now = clock.monotonic();
     recordNamed({ server, at: now, by: "itself" }, perSecond, now);
   };
-  /** The server goes on naming something: what is known holds on. */
-  const takeUnreadable = (server: ServerId, text: string) => {
+  /** Handles an invalid limit. The server still names one, so the limit on record is renewed. */
+  const handleUnreadable = (server: ServerId, text: string) => {
     const known = find(server);
-    if (known) takeNamed(server, known.perSecond);
+    if (known) handleNamed(server, known.perSecond);
     if (unreadable.get(server) === text) return;
     unreadable.set(server, text);
     onEvent({ kind: "unreadable", server, text });
   };
 
   return {
-    applySignal: (server, sign, sentAgo) => {
-      switch (sign.kind) {
+    applySignal: (server, signal, sentAgo) => {
+      switch (signal.kind) {
         case "named":
-          takeNamed(server, sign.perSecond);
+          handleNamed(server, signal.perSecond);
           return;
         case "unnamed":
-          if (sentAgo !== undefined) takeUnnamed(server, sentAgo);
+          if (sentAgo !== undefined) handleUnnamed(server, sentAgo);
           return;
         case "unreadable":
-          takeUnreadable(server, sign.text);
+          handleUnreadable(server, signal.text);
           return;
         default:
-          assertNever(sign);
+          assertNever(signal);
       }
     },
     applyUpdate: ({ named, lifted }, by) => {
-      // Boxes tell each other of their runs all the time, and hardly ever of limits.
+      // Boxes exchange updates on their runs all the time; updates on limits are rare.
       if (named.length + lifted.length === 0) return;
       const now = clock.monotonic();
       for (const { server, perSecond, knownFor, age } of named)
         if (isListed(server))
           recordNamed({ server, at: now - age, by }, perSecond, now - knownFor);
-      for (const { server, age } of lifted) takeLift({ server, at: now - age, by });
+      for (const { server, age } of lifted) applyLift({ server, at: now - age, by });
     },
     find,
     isEmpty: () => limits.size === 0,
--- a/packages/limits/src/limitedFleet.testkit.ts
+++ b/packages/limits/src/limitedFleet.testkit.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet of boxes before one server that names a limit, on a virtual clock: what boxes know of the limit travels by answers and
- * between boxes, both late; some boxes freeze, some are cut off from the others, and the list of boxes changes under way.
+ * Simulates a fleet of boxes and one server that names a limit, on a virtual clock. Boxes receive
+ * the limit by answers and from other boxes, both with delays. Some boxes freeze, some are cut off
+ * from the others, and the list of boxes changes during the run.
  */
 import {
   createSeededRandom,
@@ -32,42 +33,52 @@
   leaving: undefined,
 };
 
-/** Up to so many boxes each tells all others; beyond, a few hand on. */
+/**
+ * Up to this many boxes, each sends its updates to all others; beyond that a few hubs forward them.
+ */
 const MESH_BOXES = 12;
 const HUBS = 4;
 
-/** Longest ways: to another box, and to the server with the time until a connection is up. */
+/**
+ * Longest delays: of a message to another box, of a request to the server including the connection
+ * setup, and of an answer.
+ */
 const LINK_MS = 40;
 const SEND_MS = 250;
 const ANSWER_MS = 25;
-/** Longest time until a change of the list of boxes is known to all. */
+/** Longest time until a change of the list of boxes has reached all boxes. */
 const LIST_MS = 600;
 
-/** The server names its limit from this moment on; boxes know each other by then. */
-export const NAMED_AT = 8_000;
+/** Time from which the server names its limit. By then the boxes have the list of boxes. */
+export const LIMIT_NAMED_AT_MS = 8_000;
 
-/** What is played. */
-export type FleetLoad = Readonly<{
+/** Parameters of one simulation run. */
+export type FleetScenario = Readonly<{
   boxes: number;
-  /** What the server names. */
+  /** The limit that the server names. */
   perSecond: number;
-  /** Requests a second that all boxes together would send there. */
-  asked: number;
-  /** The same from the naming on, where it is something else. */
-  askedThen?: number;
+  /** Requests per second that clients send through all boxes together. */
+  requestsPerSecond: number;
+  /** The same from when the limit is named; unchanged if undefined. */
+  requestsPerSecondOnceNamed?: number;
   durationMs: number;
   seed: number;
-  /** Part of the boxes that freeze for seconds, that no other box reaches, and that go for good while others take their places. */
-  frozen?: number;
-  cutOff?: number;
-  gone?: number;
-  /** The first box places for all others. */
+  /**
+   * Shares of the boxes that freeze for seconds, that are cut off from all other boxes, and that
+   * are removed from the list during the run.
+   */
+  frozenShare?: number;
+  cutOffShare?: number;
+  removedShare?: number;
+  /** Whether the first box of the list places the requests of all boxes. */
   isPlacedByFirst?: boolean;
-  /** The server no longer names its limit from this moment on. */
+  /** Time from which the server no longer names its limit. */
   unnamedAt?: number;
 }>;
 
-/** A request as the server got it. */
+/**
+ * A request as received by the server. `isTold` is set if the server names its limit at that time.
+ */
 export type FleetArrival = Readonly<{ box: number; at: number; isTold: boolean }>;
 
 type FleetBox = Readonly<{
@@ -77,71 +88,80 @@
   isCutOff: boolean;
 }>;
 
-/** Plays the load; gives what the server got. */
-export const runLimitedFleet = (load: FleetLoad): readonly FleetArrival[] => {
-  const { boxes, perSecond, asked, durationMs } = load;
+/** Runs the simulation and returns the requests that the server received. */
+export const runLimitedFleet = (scenario: FleetScenario): readonly FleetArrival[] => {
+  const { boxes, perSecond, requestsPerSecond, durationMs } = scenario;
   const clock = createVirtualClock();
-  const random = createSeededRandom(load.seed);
+  const random = createSeededRandom(scenario.seed);
   const arrivals: FleetArrival[] = [];
-  const isOneOf = (share = 0) => random.nextFloat() < share;
-  const callWithin = (most: number, fire: () => void) =>
-    void clock.setTimer(random.nextInt(0, most) as Ms, fire);
+  const isChosen = (share = 0) => random.nextFloat() < share;
+  const callAfterRandomDelay = (maxDelay: number, callback: () => void) =>
+    void clock.setTimer(random.nextInt(0, maxDelay) as Ms, callback);
   const getNow = () => clock.monotonic();
   const hasHubs = boxes > MESH_BOXES;
   const makeName = (index: number) => `box-${index}` as BoxName;
 
-  const sendNews = (from: number, to: number, news: LimitUpdate) => {
+  const sendUpdate = (from: number, to: number, update: LimitUpdate) => {
     if (from === to || fleet[from]!.isCutOff || fleet[to]!.isCutOff) return;
-    callWithin(LINK_MS, () => fleet[to]!.limits.applyUpdate(news, makeName(from)));
+    callAfterRandomDelay(LINK_MS, () =>
+      fleet[to]!.limits.applyUpdate(update, makeName(from)),
+    );
   };
-  const tellTo = (from: number, to: number, news: LimitUpdate) => {
-    for (let box = 0; box < to; box += 1) sendNews(from, box, news);
+  const sendToFirst = (from: number, to: number, update: LimitUpdate) => {
+    for (let box = 0; box < to; box += 1) sendUpdate(from, box, update);
   };
   const makeBox = (index: number): FleetBox => {
     const places = createFleetPlaces(clock);
-    const wakesAt = isOneOf(load.frozen) ? random.nextInt(NAMED_AT, durationMs) : -1;
-    const goesAt = isOneOf(load.gone) ? random.nextInt(NAMED_AT, durationMs) : Infinity;
+    const frozenUntil = isChosen(scenario.frozenShare)
+      ? random.nextInt(LIMIT_NAMED_AT_MS, durationMs)
+      : -1;
+    const removedAt = isChosen(scenario.removedShare)
+      ? random.nextInt(LIMIT_NAMED_AT_MS, durationMs)
+      : Infinity;
     const limits = createServerLimits({
       clock,
       agingClock: clock,
       places,
-      isPlacedByHubs: () => load.isPlacedByFirst ?? false,
+      isPlacedByHubs: () => scenario.isPlacedByFirst ?? false,
       isListed: () => true,
-      onOwnUpdate: (news) => tellTo(index, hasHubs ? HUBS : boxes, news),
-      onSharedUpdate: (news) => {
-        if (hasHubs && index < HUBS) tellTo(index, boxes, news);
+      onOwnUpdate: (update) => sendToFirst(index, hasHubs ? HUBS : boxes, update),
+      onSharedUpdate: (update) => {
+        if (hasHubs && index < HUBS) sendToFirst(index, boxes, update);
       },
       onEvent: () => undefined,
     });
-    if (goesAt < Infinity) clock.setTimer(goesAt as Ms, () => removeBox(index));
+    if (removedAt < Infinity) clock.setTimer(removedAt as Ms, () => removeBox(index));
     return {
       limits,
       setPlace: (rank, count) => places.setPlace({ rank, boxes: count }),
       isFrozen: () =>
-        (getNow() > wakesAt - 3_000 && getNow() < wakesAt) || getNow() >= goesAt,
-      isCutOff: isOneOf(load.cutOff),
+        (getNow() > frozenUntil - 3_000 && getNow() < frozenUntil) ||
+        getNow() >= removedAt,
+      isCutOff: isChosen(scenario.cutOffShare),
     };
   };
   let listed = Array.from({ length: boxes }, (_, index) => index);
-  const removeBox = (gone: number) => {
-    listed = listed.filter((index) => index !== gone);
-    const seen = listed;
-    for (const index of seen)
-      callWithin(LIST_MS, () => fleet[index]!.setPlace(seen.indexOf(index), seen.length));
+  const removeBox = (removedIndex: number) => {
+    listed = listed.filter((index) => index !== removedIndex);
+    const remaining = listed;
+    for (const index of remaining)
+      callAfterRandomDelay(LIST_MS, () =>
+        fleet[index]!.setPlace(remaining.indexOf(index), remaining.length),
+      );
   };
   const fleet: readonly FleetBox[] = listed.map(makeBox);
   fleet.forEach((box, rank) => box.setPlace(rank, boxes));
 
   const answer = (index: number, sentAt: number, isTold: boolean) => {
-    const sign = isTold ? { kind: "named" as const, perSecond } : UNNAMED;
+    const signal = isTold ? { kind: "named" as const, perSecond } : UNNAMED;
     const sentAgo = (getNow() - sentAt) as Ms;
-    fleet[index]!.limits.applySignal(SERVER.entry.id, sign, sentAgo);
+    fleet[index]!.limits.applySignal(SERVER.entry.id, signal, sentAgo);
   };
-  const takeArrival = (index: number, sentAt: number) => {
+  const receiveRequest = (index: number, sentAt: number) => {
     const at = getNow();
-    const isTold = at >= NAMED_AT && at < (load.unnamedAt ?? Infinity);
+    const isTold = at >= LIMIT_NAMED_AT_MS && at < (scenario.unnamedAt ?? Infinity);
     arrivals.push({ box: index, at, isTold });
-    callWithin(ANSWER_MS, () => answer(index, sentAt, isTold));
+    callAfterRandomDelay(ANSWER_MS, () => answer(index, sentAt, isTold));
   };
   const send = (index: number) => {
     const { limits, isFrozen } = fleet[index]!;
@@ -151,15 +171,18 @@
     if (limits.filter(demand, [SERVER]).open.length === 0) return;
     limits.recordSent(SERVER.entry, demand.tier);
     const sentAt = getNow();
-    callWithin(SEND_MS, () => takeArrival(index, sentAt));
+    callAfterRandomDelay(SEND_MS, () => receiveRequest(index, sentAt));
   };
-  const sendOn = () => {
-    send(load.isPlacedByFirst ? 0 : random.nextInt(0, boxes - 1));
-    const perSecondNow = getNow() < NAMED_AT ? asked : (load.askedThen ?? asked);
-    const pause = (-Math.log(1 - random.nextFloat()) * 1_000) / perSecondNow;
-    clock.setTimer(pause as Ms, sendOn);
+  const sendRepeatedly = () => {
+    send(scenario.isPlacedByFirst ? 0 : random.nextInt(0, boxes - 1));
+    const perSecondNow =
+      getNow() < LIMIT_NAMED_AT_MS
+        ? requestsPerSecond
+        : (scenario.requestsPerSecondOnceNamed ?? requestsPerSecond);
+    const delay = (-Math.log(1 - random.nextFloat()) * 1_000) / perSecondNow;
+    clock.setTimer(delay as Ms, sendRepeatedly);
   };
-  clock.setTimer(5_000 as Ms, sendOn);
+  clock.setTimer(5_000 as Ms, sendRepeatedly);
   clock.advance(durationMs as Ms);
   return arrivals;
 };
--- a/packages/limits/src/limitRoom.test.ts
+++ b/packages/limits/src/sendBudgets.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from "vitest";
 import { createVirtualClock, type Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { computeQuota, createLimitRooms } from "./limitRoom.js";
+import { computeQuota, createSendBudgets } from "./sendBudgets.js";
 
 const SERVER = "page-0@1" as ServerId;
 const LONG_KNOWN = 60_000 as Ms;
 
 describe("computeQuota", () => {
-  it("gives what the server takes on the mean, in whole requests", () => {
+  it("allows the server's limit on average, in whole requests", () => {
     for (const perSecond of [0.05, 0.5, 1.7, 1.9, 7.3, 140]) {
       const { whole, span } = computeQuota({ perSecond, knownFor: LONG_KNOWN });
       expect(Number.isInteger(whole)).toBe(true);
@@ -16,14 +16,14 @@
     }
   });
 
-  it("keeps the users' bound on 4 s of arrivals whose requests were up to a second under way", () => {
+  it("keeps within the users' bound on arrivals in 4 s if requests take up to a second to arrive", () => {
     for (let perSecond = 0.05; perSecond < 300; perSecond *= 1.07) {
       const { whole } = computeQuota({ perSecond, knownFor: LONG_KNOWN });
       expect(whole).toBeLessThanOrEqual(perSecond * 4 * 1.5 + 5);
     }
   });
 
-  it("leaves room at first for what was sent in the second before anyone knew, at three times the limit", () => {
+  it("allows less at first, for the requests sent at three times the limit in the second before any box had it", () => {
     for (let perSecond = 0.05; perSecond < 300; perSecond *= 1.07) {
       const { whole, span } = computeQuota({ perSecond, knownFor: 0 as Ms });
       expect(span).toBeGreaterThan(4_000);
@@ -33,8 +33,8 @@
   });
 });
 
-describe("computeQuota at the beginning", () => {
-  it("gives nothing from before the users begin to count until their window holds nothing of what came before", () => {
+describe("computeQuota after a limit is first named", () => {
+  it("allows nothing from shortly before users begin to count until their window holds no earlier requests", () => {
     for (const knownFor of [2_400, 3_000, 4_099]) {
       const quota = computeQuota({ perSecond: 3, knownFor: knownFor as Ms });
       expect(quota.whole).toBe(0);
@@ -44,19 +44,19 @@
   });
 });
 
-describe("what a box may send to a server with a limit", () => {
+describe("createSendBudgets", () => {
   const quota = { whole: 9, span: 5_000 as Ms };
   const setUp = () => {
     const clock = createVirtualClock();
-    return { clock, rooms: createLimitRooms(clock) };
+    return { clock, rooms: createSendBudgets(clock) };
   };
 
-  it("is its part in any span, at some distance from each other", () => {
-    const { clock, rooms } = setUp();
+  it("allows the box's part in any span, with a minimum distance between requests", () => {
+    const { clock, rooms: budgets } = setUp();
     const sentAt: number[] = [];
     for (let now = 0; now < 20_000; now += 10) {
-      if (rooms.judge(SERVER, quota, 3).freeIn === 0) {
-        rooms.record(SERVER, quota);
+      if (budgets.compute(SERVER, quota, 3).freeIn === 0) {
+        budgets.record(SERVER, quota);
         sentAt.push(now);
       }
       clock.advance(10 as Ms);
@@ -68,27 +68,28 @@
     });
   });
 
-  it("tells when the next may go", () => {
-    const { clock, rooms } = setUp();
-    rooms.record(SERVER, quota);
+  it("returns the time until the next request may be sent", () => {
+    const { clock, rooms: budgets } = setUp();
+    budgets.record(SERVER, quota);
     clock.advance(200 as Ms);
-    expect(rooms.judge(SERVER, quota, 1)).toMatchObject({ used: 1, freeIn: 4_800 });
-    expect(rooms.judge(SERVER, quota, 2).freeIn).toBe(1_050);
+    expect(budgets.compute(SERVER, quota, 1)).toMatchObject({ used: 1, freeIn: 4_800 });
+    expect(budgets.compute(SERVER, quota, 2).freeIn).toBe(1_050);
   });
 
-  it("is nothing without a part, and there is no time at which that changes", () => {
-    const { rooms } = setUp();
-    const { part, freeIn } = rooms.judge(SERVER, quota, 0);
+  it("returns no time for the next request if the box has no part of the quota", () => {
+    const { rooms: budgets } = setUp();
+    const { part, freeIn } = budgets.compute(SERVER, quota, 0);
     expect({ part, freeIn }).toEqual({ part: 0, freeIn: undefined });
   });
 
-  it("takes what went beyond its part into account until that is a span ago", () => {
-    const { clock, rooms } = setUp();
+  it("counts requests sent beyond the part until they are a span old", () => {
+    const { clock, rooms: budgets } = setUp();
     for (let i = 0; i < 4; i += 1) {
-      rooms.record(SERVER, quota);
+      budgets.record(SERVER, quota);
       clock.advance(1_000 as Ms);
     }
-    // Two of four have to be older than the span before there is room for the second of two.
-    expect(rooms.judge(SERVER, quota, 2).freeIn).toBe(3_000);
+    // Three of the four requests must be older than the span before a second one of two may be
+    // sent.
+    expect(budgets.compute(SERVER, quota, 2).freeIn).toBe(3_000);
   });
 });
--- a/packages/limits/src/limitRoom.ts
+++ b/packages/limits/src/sendBudgets.ts
@@ -1,58 +1,62 @@
 /**
- * How many requests this box may still send to a server that has named a limit. All boxes together send as many as the server
- * takes: each has its part of a whole number of requests in a span of some seconds, by its place in the list of boxes, so that the
- * parts add up with no talk between boxes, and a part below one falls to as many boxes as there are requests.
+ * How many requests this box may still send to a server that has named a limit.
+ *
+ * All boxes together send as many requests as the server accepts. Each box gets a whole number of
+ * requests per span of some seconds, computed from its position in the list of boxes. So the parts
+ * add up without messages between the boxes. If there are more boxes than requests, only as many
+ * boxes as there are requests get one each.
  */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
-import { ONSET_EXTRA, ONSET_MS, QUIET_FROM_MS, SPAN_SECONDS } from "./constants.js";
+import { ONSET_EXTRA, ONSET_MS, PAUSE_FROM_MS, SPAN_SECONDS } from "./constants.js";
 import type { KnownLimit } from "./types.js";
 
-/** What all boxes together may send in any span. */
+/** Number of requests that all boxes together may send in any span of the given length. */
 export type LimitQuota = Readonly<{ whole: number; span: Ms }>;
 
-/** What this box may send, and has sent. */
-export type LimitRoom = Readonly<{
+/** What this box may send to a server in a span, and what it has sent in the last one. */
+export type SendBudget = Readonly<{
   part: number;
   used: number;
   span: Ms;
-  /** Time until the next request may go; none where this box has no part. */
+  /** Time until the next request may be sent; undefined if this box has no part of the quota. */
   freeIn: Ms | undefined;
 }>;
 
-/** What a box counts. */
-export type LimitRooms = Readonly<{
-  /** A request goes to the server. */
+/** Counts the requests that this box sends to limited servers. */
+export type SendBudgets = Readonly<{
+  /** Records a request sent to the server. */
   record: (server: ServerId, quota: LimitQuota) => void;
   /** `part` is this box's part of the quota. */
-  judge: (server: ServerId, quota: LimitQuota, part: number) => LimitRoom;
+  compute: (server: ServerId, quota: LimitQuota, part: number) => SendBudget;
   forget: (server: ServerId) => void;
 }>;
 
 const MS_PER_S = 1_000;
 
-/** A box that has several requests in a span sends them no closer together than this share of their mean distance. */
+/** Least distance between two requests of this box, as a share of the mean distance in a span. */
 const MIN_DISTANCE = 0.5;
 
-/** Works out what all boxes together may send. */
+/** Computes what all boxes together may send. */
 export const computeQuota = ({
   perSecond,
   knownFor,
 }: Pick<KnownLimit, "perSecond" | "knownFor">): LimitQuota => {
   if (knownFor < ONSET_MS) {
-    const isQuiet = knownFor >= QUIET_FROM_MS;
+    const isQuiet = knownFor >= PAUSE_FROM_MS;
     return {
       whole: isQuiet ? 0 : Math.floor(perSecond + ONSET_EXTRA),
       span: ONSET_MS,
     };
   }
-  // In whole requests, over as long as the server takes for them: nothing is lost to rounding.
+  // The span is as long as the server takes for the whole number of requests, so rounding loses
+  // nothing.
   const whole = Math.ceil(perSecond * SPAN_SECONDS);
   return { whole, span: ((whole / perSecond) * MS_PER_S) as Ms };
 };
 
-/** Creates a count of nothing. */
-export const createLimitRooms = (clock: Pick<Clock, "monotonic">): LimitRooms => {
+/** Creates the counter, with no requests recorded. */
+export const createSendBudgets = (clock: Pick<Clock, "monotonic">): SendBudgets => {
   const sentAt = new Map<ServerId, readonly Ms[]>();
 
   const listRecent = (server: ServerId, span: Ms): readonly Ms[] => {
@@ -61,7 +65,7 @@
     sentAt.set(server, recent);
     return recent;
   };
-  const computeFreeAt = (recent: readonly Ms[], { part, used, span }: LimitRoom) => {
+  const computeFreeAt = (recent: readonly Ms[], { part, used, span }: SendBudget) => {
     const latest = recent.at(-1);
     if (latest === undefined) return 0;
     const next = latest + (span * MIN_DISTANCE) / part;
@@ -72,12 +76,12 @@
     record: (server, { span }) => {
       sentAt.set(server, [...listRecent(server, span), clock.monotonic()]);
     },
-    judge: (server, { span }, part) => {
+    compute: (server, { span }, part) => {
       const recent = listRecent(server, span);
-      const room = { part, used: recent.length, span, freeIn: undefined };
-      if (part <= 0) return room;
-      const freeIn = Math.max(0, computeFreeAt(recent, room) - clock.monotonic()) as Ms;
-      return { ...room, freeIn };
+      const budget = { part, used: recent.length, span, freeIn: undefined };
+      if (part <= 0) return budget;
+      const freeIn = Math.max(0, computeFreeAt(recent, budget) - clock.monotonic()) as Ms;
+      return { ...budget, freeIn };
     },
     forget: (server) => void sentAt.delete(server),
   };
--- a/packages/limits/src/urgentDemand.ts
+++ b/packages/limits/src/urgentDemand.ts
@@ -1,19 +1,25 @@
 /**
- * Whom the little goes to that servers in need take. The load: all servers of a service have named limits, and several times as many
- * requests come. First come first served would give the places to whatever is asked for most; so a request gets one only if the
- * places of a span, less those that more urgent requests asked for in the last one, have not gone to others of its rank or below.
+ * Reserves the capacity of limited servers for urgent requests.
+ *
+ * This matters when all servers of a service have named limits and several times as many requests
+ * arrive. First come, first served would give most places to the most frequent kind of request.
+ * Here a request gets a place only if enough places are left in the span, after subtracting those
+ * that more urgent requests asked for in the last span and those already taken by requests of the
+ * same or a lower rank.
  */
 import type { Clock, ServiceName } from "@stairgauge/common";
 import { SPAN_SECONDS } from "./constants.js";
 
-/** What one box is asked for, and what it has sent to servers in need. */
+/** Counts of requests that arrived at this box, and of those it sent to limited servers. */
 export type UrgentDemand = Readonly<{
-  /** A request of the rank has come; 0 is the most urgent. */
+  /** Records the arrival of a request; tier 0 is the most urgent. */
   recordArrival: (service: ServiceName, tier: number) => void;
-  /** It goes to a server in need. */
+  /** Records that a request was sent to a limited server. */
   recordSent: (service: ServiceName, tier: number) => void;
-  /** Whether one more of the rank may go, where this box has so many places in a span. */
-  mayTake: (service: ServiceName, tier: number, places: number) => boolean;
+  /**
+   * Whether one more request of the tier may be sent if this box has `places` requests per span.
+   */
+  maySend: (service: ServiceName, tier: number, places: number) => boolean;
 }>;
 
 type Counts = Readonly<{ arrived: Map<number, number>; sent: Map<number, number> }>;
@@ -21,16 +27,19 @@
 
 const MS_PER_S = 1_000;
 
-/** The second that has just begun says little yet: demand is counted over a whole span beside it. */
+/**
+ * Seconds over which demand is counted: a whole span, and the current second, which has only just
+ * begun.
+ */
 const DEMAND_SECONDS = SPAN_SECONDS + 1;
 
 const sumTiers = (
   counts: ReadonlyMap<number, number>,
-  isIn: (tier: number) => boolean,
+  isCounted: (tier: number) => boolean,
 ): number =>
-  [...counts].reduce((sum, [tier, count]) => sum + (isIn(tier) ? count : 0), 0);
+  [...counts].reduce((sum, [tier, count]) => sum + (isCounted(tier) ? count : 0), 0);
 
-/** Creates a demand of nothing. */
+/** Creates empty counts. */
 export const createUrgentDemand = (clock: Pick<Clock, "monotonic">): UrgentDemand => {
   let buckets: readonly Bucket[] = [];
 
@@ -41,8 +50,10 @@
     );
   const openBucket = (service: ServiceName): Bucket => {
     const second = getSecond();
-    const open = buckets.find((one) => one.service === service && one.second === second);
-    if (open) return open;
+    const current = buckets.find(
+      (one) => one.service === service && one.second === second,
+    );
+    if (current) return current;
     const bucket = { service, second, arrived: new Map(), sent: new Map() };
     const kept = buckets.filter((one) => one.second > second - DEMAND_SECONDS);
     buckets = [...kept, bucket];
@@ -54,7 +65,7 @@
   return {
     recordArrival: (service, tier) => addOne(openBucket(service).arrived, tier),
     recordSent: (service, tier) => addOne(openBucket(service).sent, tier),
-    mayTake: (service, tier, places) => {
+    maySend: (service, tier, places) => {
       const urgent = listRecent(service, DEMAND_SECONDS).map(({ arrived }) =>
         sumTiers(arrived, (one) => one < tier),
       );
