--- a/packages/placement/src/chooseServer.test.ts
+++ b/packages/placement/src/chooseServer.test.ts
@@ -9,7 +9,7 @@
 import {
   ENGINE_WAYS,
   chooseServer,
-  createLoadBook,
+  createLoadRegistry,
   type EngineReport,
   type PlacedRun,
 } from "./index.js";
@@ -56,7 +56,7 @@
 const b = makeServer("b");
 
 const choose = (
-  book: ReturnType<typeof createLoadBook>,
+  book: ReturnType<typeof createLoadRegistry>,
   demand = GENERATION as Parameters<typeof chooseServer>[0]["demand"],
   candidates = [a, b],
   { rivals = 0, random = createSeededRandom(4) } = {},
@@ -75,36 +75,37 @@
 };
 
 describe("chooseServer for generations", () => {
-  it("sends a newcomer past a prompt that waits to be read to an engine with less memory free", () => {
-    const book = createLoadBook();
+  it("prefers an engine with less free memory over one with a waiting prompt", () => {
+    const book = createLoadRegistry();
     const [soon, later] = [a.entry.id, b.entry.id];
     const run = { expectedOut: 0, isMovable: true };
     book.addRun(soon, { ...run, id: "r1", promptTokens: 17_000, hasBegun: true });
     book.addRun(later, { ...run, id: "r2", promptTokens: 5_000, hasBegun: false });
     for (const id of [soon, later]) book.putReport(id, makeReport(), 1_000 as Ms);
-    // By memory alone, even with what waits counted three times, the other one is emptier: 15,000 of 34,000 tokens.
+    // By memory alone, even with waiting prompts counted three times, the other engine is emptier:
+    // 15,000 of 34,000 tokens.
     for (let seed = 0; seed < 20; seed += 1)
       expect(choose(book, GENERATION, [a, b], { random: createSeededRandom(seed) })).toBe(
         soon,
       );
   });
 
-  it("avoids an engine that another box has just filled, before any report shows it", () => {
-    const book = createLoadBook();
+  it("avoids an engine that another box has just filled, before any report shows this", () => {
+    const book = createLoadRegistry();
     for (const id of ["1", "2", "3"])
       book.putPeerRun("box", { server: a.entry.id, run: makeRun(id) });
     expect(choose(book)).toBe("b");
   });
 
-  it("avoids prompts that wait to be read more than memory that is merely taken", () => {
-    const book = createLoadBook();
+  it("avoids waiting prompts more than memory in use", () => {
+    const book = createLoadRegistry();
     book.addRun(a.entry.id, makeRun("1", { hasBegun: false, promptTokens: 3_000 }));
     book.addRun(b.entry.id, makeRun("2", { promptTokens: 5_500 }));
     expect(choose(book)).toBe("b");
   });
 
-  it("counts a run once that both a box and the engine tell of", () => {
-    const book = createLoadBook();
+  it("counts a run once if both a box and the engine report it", () => {
+    const book = createLoadRegistry();
     const runs = [{ id: "1", tokensInMemory: 3_000, eventsMade: 3 }];
     book.addRun(a.entry.id, makeRun("1"));
     book.putReport(a.entry.id, makeReport({ runs }), 900 as Ms);
@@ -116,8 +117,8 @@
     expect(choose(book)).toBe("a");
   });
 
-  it("counts the prompts of other boxes that waited when the report was made", () => {
-    const book = createLoadBook();
+  it("counts the prompts of other boxes that were waiting when the report was made", () => {
+    const book = createLoadRegistry();
     book.putReport(
       a.entry.id,
       makeReport({ waiting: 4, firstWaitingTokens: 2_000 }),
@@ -127,9 +128,9 @@
     expect(choose(book)).toBe("b");
   });
 
-  it("does not send all boxes to the one engine that is empty, as far as they cannot see each other", () => {
+  it("spreads placements beyond the one empty engine if boxes can't see each other's placements", () => {
     const engines = ["new", "1", "2", "3", "4", "5"].map((id) => makeServer(id));
-    const book = createLoadBook();
+    const book = createLoadRegistry();
     for (const { entry } of engines.slice(1))
       for (const run of ["x", "y"]) book.addRun(entry.id, makeRun(`${entry.id} ${run}`));
     const random = createSeededRandom(9);
@@ -144,17 +145,17 @@
     expect(countNew(5)).toBeLessThan(80);
   });
 
-  it("has nobody to choose when there is none", () => {
-    expect(choose(createLoadBook(), GENERATION, [])).toBe("no_server");
+  it("returns no server if there are no candidates", () => {
+    expect(choose(createLoadRegistry(), GENERATION, [])).toBe("no_server");
   });
 });
 
 describe("chooseServer for plain requests", () => {
   const plain = { tokens: undefined };
 
-  it("takes the least busy, the own data hall first", () => {
+  it("chooses the least busy server, and one in the own data hall on a tie", () => {
     const far = makeServer("far", "other");
-    const book = createLoadBook();
+    const book = createLoadRegistry();
     expect(choose(book, plain, [far, a])).toBe("a");
     book.addOpen(a.entry.id);
     book.addOpen(a.entry.id);
--- a/packages/placement/src/chooseServer.ts
+++ b/packages/placement/src/chooseServer.ts
@@ -1,4 +1,4 @@
-/** Chooses the server that takes a request. Pure, but for the randomness handed in. */
+/** Chooses the server for a request. Pure but for the random source passed in. */
 import type { DataHallName, Ms, Random } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import type { EngineWay } from "./engineWays.js";
@@ -6,57 +6,67 @@
 import type { Demand, PlacementDecision } from "./types.js";
 
 /**
- * How old a report's content is when it arrives. From the users' pages: "as of some hundred ms ago";
- * their sites play 500 ms.
+ * Age of a report's content when it arrives. The users' pages say "as of some hundred ms ago";
+ * their test sites use 500 ms.
  */
 const REPORT_LAG_MS = 500;
 
-/** Share of a plain server's slots that a way to another data hall is worth: about 3 of 20 ms. */
+/** Cost of sending to another data hall, as a share of a plain server's slots: about 3 of 20 ms. */
 const OTHER_HALL_COST = 0.15;
 
-/** What a choice is made from. */
+/** Inputs of a choice. */
 export type ChoiceInputs = Readonly<{
   candidates: readonly BackendServer[];
   demand: Pick<Demand, "tokens">;
   book: LoadRegistry;
   ownHall: DataHallName;
   way: EngineWay;
-  /** Placements of other boxes that this one does not see yet, as expected. */
+  /** Expected number of placements by other boxes that this box hasn't received yet. */
   rivals: number;
   now: Ms;
   random: Random;
 }>;
 
-/** What an engine has taken on, in tokens, as far as this box can tell. */
+/** Estimated load of an engine, in tokens. */
 export type EngineLoad = Readonly<{
-  /** Memory taken or spoken for. */
+  /** Memory in use or reserved. */
   taken: number;
-  /** Prompts that wait to be read. */
+  /** Prompts that wait to be processed. */
   backlog: number;
   total: number;
   reportAge: Ms | undefined;
 }>;
 
-/** Memory of an engine that has not reported yet, until it does; from the users' sites. */
+/** Assumed memory of an engine that has not reported yet; from the users' sites. */
 const ASSUMED_MEMORY_TOKENS = 34_000;
 
-/** Tokens that another box's run is expected to make yet; from the users' sites, half of a mean output. */
+/**
+ * Tokens that another box's run is still expected to generate: half of a mean output on the users'
+ * sites.
+ */
 const GROWTH_OF_OTHERS_TOKENS = 400;
 
-/** Prompt of a waiting request whose size the report does not tell; mean of the users' sites. */
+/**
+ * Assumed prompt size of a waiting request if the report doesn't contain it: the mean on the users'
+ * sites.
+ */
 const ASSUMED_PROMPT_TOKENS = 2_600;
 
-/** Loads closer together than this are as good as equal, given how old reports are. */
-const MIN_JITTER = 0.06;
+/** Loads closer together than this count as equal, given the age of reports. */
+const MIN_LOAD_JITTER = 0.06;
 
-/** A draw lies half its range above the least in the mean: the range is twice the load that is to be made up for. */
-const RIVAL_SPREAD = 2;
+/**
+ * Factor on the range of random loads. The mean of a uniform draw is half its range, so the range
+ * is twice the load to make up for.
+ */
+const COMPETITION_SPREAD = 2;
 
 /**
- * A rival that is less likely than not is not reckoned with: at 11 placements a second (0.3 rivals) spreading cost up to
- * 0.015 of worth, at 40 a second (1.2) it took the slowest of 100 first answers from 2.3 s to 1.5 s.
+ * Competing placements up to this expected number are ignored. At 11 placements per second (0.3
+ * expected) spreading cost up to 0.015 of the worth; at 40 per second (1.2 expected) it reduced the
+ * slowest 1 % of first answers from 2.3 s to 1.5 s.
  */
-const IGNORED_RIVALS = 0.5;
+const IGNORED_COMPETITORS = 0.5;
 
 const sumRuns = (runs: readonly PlacedRun[]): number =>
   runs.reduce((sum, run) => sum + run.promptTokens + run.expectedOut, 0);
@@ -71,14 +81,17 @@
     0,
   );
 
-/** Prompts of other boxes that waited when the report was made. */
+/** Tokens of other boxes' prompts that were waiting when the report was made. */
 const sumWaitingOthers = ({ report }: KeptReport, own: readonly PlacedRun[]): number => {
   const ownWaiting = own.filter((run) => !run.hasBegun).length;
   const others = Math.max(0, report.waiting - ownWaiting);
   return others * (report.firstWaitingTokens || ASSUMED_PROMPT_TOKENS);
 };
 
-/** Works an engine's load out: runs of this box and of its peers as placed, other runs as last reported. */
+/**
+ * Estimates an engine's load: runs of this box and its peers as placed, other runs as last
+ * reported.
+ */
 export const estimateEngineLoad = (
   server: BackendServer,
   book: LoadRegistry,
@@ -131,12 +144,14 @@
   const prompt = demand.tokens?.prompt ?? 0;
   const needed = prompt + (demand.tokens?.expectedOut ?? 0);
   const { taken, backlog, total, reportAge } = estimateEngineLoad(server, book, now);
-  // Boxes that see the same engine as the emptiest would all choose it. What each of them adds, times how many may be choosing
-  // now, is the difference of load by which none can tell which engine will be emptier.
+  // Boxes with the same figures would all choose the engine that looks emptiest. The load that one
+  // placement adds, times the number of boxes that may be choosing now, is the difference of load
+  // below which a box can't predict which engine will be emptier.
   const added = (needed + backlogWeight * prompt) / total;
-  const expected = Math.max(0, rivals - IGNORED_RIVALS);
+  const competitors = Math.max(0, rivals - IGNORED_COMPETITORS);
   const jitter =
-    random.nextFloat() * Math.max(MIN_JITTER, RIVAL_SPREAD * expected * added);
+    random.nextFloat() *
+    Math.max(MIN_LOAD_JITTER, COMPETITION_SPREAD * competitors * added);
   return {
     server,
     load: (taken + backlogWeight * backlog) / total + jitter,
@@ -151,7 +166,10 @@
   return best[random.nextInt(0, Math.max(0, best.length - 1))];
 };
 
-/** Chooses among the candidates; ties are broken at random, so that boxes don't agree by accident. */
+/**
+ * Chooses the candidate with the least load. Ties are broken at random, so that boxes don't all
+ * choose the same server.
+ */
 export const chooseServer = (inputs: ChoiceInputs): PlacementDecision => {
   const { candidates, demand, random } = inputs;
   const isEngine = demand.tokens !== undefined;
--- a/packages/placement/src/competingRate.ts
+++ b/packages/placement/src/competingRate.ts
@@ -1,35 +1,41 @@
-/** How many placements other boxes make that this one does not see yet. Pure but for the times handed in. */
+/**
+ * Estimates how many placements other boxes have made that this box hasn't received yet. Pure but
+ * for the times passed in.
+ */
 import type { Ms } from "@stairgauge/common";
 
 /**
- * Time from a placement to its being seen by all others. At 66 boxes up to nine of them chose one new engine within 50 ms,
- * none seeing the others.
+ * Time until a placement has been received by all other boxes. With 66 boxes, up to nine of them
+ * chose the same new engine within 50 ms, none having received the others' placements.
  */
-const BLIND_MS = 30;
+const PROPAGATION_MS = 30;
 
-/** Over which placements are counted; shorter than a burst, long enough for a few even at small sites. */
-const MEMORY_MS = 2_000;
+/**
+ * Decay time of the counted placements: shorter than a burst, but long enough for a few placements
+ * even at small sites.
+ */
+const DECAY_MS = 2_000;
 
-/** Counts what others tell of their placements. */
+/** Rate of the placements reported by other boxes. */
 export type CompetingRate = Readonly<{
-  /** Another box has told of new placements. */
+  /** Records new placements reported by another box. */
   record: (count: number, now: Ms) => void;
-  /** Placements made elsewhere and not seen here, as expected now. */
+  /** Returns the expected number of placements by other boxes that this box hasn't received yet. */
   estimate: (now: Ms) => number;
 }>;
 
-/** Creates a rate of nothing. */
+/** Creates a rate of 0. */
 export const createCompetingRate = (): CompetingRate => {
   let weight = 0;
   let countedAt = 0;
 
-  const computeWeight = (now: Ms) => weight * Math.exp((countedAt - now) / MEMORY_MS);
+  const computeWeight = (now: Ms) => weight * Math.exp((countedAt - now) / DECAY_MS);
 
   return {
     record: (count, now) => {
       weight = computeWeight(now) + count;
       countedAt = now;
     },
-    estimate: (now) => (computeWeight(now) / MEMORY_MS) * BLIND_MS,
+    estimate: (now) => (computeWeight(now) / DECAY_MS) * PROPAGATION_MS,
   };
 };
--- a/packages/placement/src/computeConnectionShare.test.ts
+++ b/packages/placement/src/computeConnectionShare.test.ts
@@ -3,13 +3,13 @@
 import { computeConnectionShare } from "./index.js";
 
 describe("computeConnectionShare", () => {
-  it("divides a server's connections among the boxes and keeps some free", () => {
+  it("divides a server's connections among the boxes and reserves some", () => {
     expect(computeConnectionShare(100, 7)).toBe(12);
     expect(computeConnectionShare(100, 0)).toBe(98);
     expect(computeConnectionShare(undefined, 7)).toBe(Infinity);
   });
 
-  it("never lets the boxes together pass the limit while each has more than the least", () => {
+  it("keeps the boxes together within the limit while each has more than the minimum", () => {
     fc.assert(
       fc.property(fc.nat(2_000), fc.integer({ min: 1, max: 400 }), (limit, boxes) => {
         const share = computeConnectionShare(limit, boxes);
--- a/packages/placement/src/computeConnectionShare.ts
+++ b/packages/placement/src/computeConnectionShare.ts
@@ -1,16 +1,19 @@
-/** How many connections to one server a box may hold of those that all boxes share. Pure. */
+/** Computes how many of the connections to one server a single box may hold. Pure. */
 
-/** Connections that a box keeps free at each server for reports and for copies of runs. */
-const KEPT_FREE = 2;
+/** Connections to each server that a box reserves for reports and for copies of runs. */
+const RESERVED_CONNECTIONS = 2;
 
-/** A box alone among many still gets work through. */
+/** Each of many boxes may open one connection, even if all together then exceed the limit. */
 const MIN_SHARE = 1;
 
-/** Divides a server's limit among the boxes known; without a limit there is none for the box either. */
+/** Divides a server's connection limit among the boxes. Returns Infinity without a limit. */
 export const computeConnectionShare = (
   limit: number | undefined,
   boxes: number,
 ): number => {
   if (limit === undefined) return Infinity;
-  return Math.max(MIN_SHARE, Math.floor(limit / Math.max(1, boxes)) - KEPT_FREE);
+  return Math.max(
+    MIN_SHARE,
+    Math.floor(limit / Math.max(1, boxes)) - RESERVED_CONNECTIONS,
+  );
 };
--- a/packages/placement/src/computeFleetShare.test.ts
+++ b/packages/placement/src/computeFleetShare.test.ts
@@ -1,6 +1,7 @@
 /**
- * The load: a server comes back cold and empty, looks the best to every box at the same moment, and bears a few requests a second.
- * What all boxes may send together has to keep its bound whoever of them is there, with no talk between them.
+ * Scenario: a server comes back cold and empty, so that it looks the best to every box at the same
+ * moment, but can handle only a few requests per second. All boxes together must keep the bound
+ * whichever of them are running, without messages between them.
  */
 import { describe, expect, it } from "vitest";
 import fc from "fast-check";
@@ -13,7 +14,7 @@
   ).reduce((sum, share) => sum + share, 0);
 
 describe("computeFleetShare", () => {
-  it("gives all boxes together just the bound, whatever its size and theirs (property)", () => {
+  it("gives all boxes together exactly the bound, for any bound and number of boxes (property)", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 0, max: 400 }),
@@ -28,19 +29,19 @@
     );
   });
 
-  it("never gives more than a bound that is no whole number", () => {
+  it("never exceeds a fractional bound", () => {
     expect(sumShares(35.9, 64, true, "e")).toBe(35);
   });
 
-  it("lets the first box, which places for the others, give nine tenths of what a cold server bears within the time to send", () => {
+  it("gives the first box, which places for the others, most of what a cold server can handle within the time to send", () => {
     const [perSecond, bound, secondsToSend] = [20, 35, 1.4];
     const part = { rank: 0, boxes: 64, isPlacedByFirst: true };
     const share = computeFleetShare(bound, part, "e" as ServerId);
     expect(share / secondsToSend).toBeGreaterThanOrEqual(0.8 * perSecond);
   });
 
-  it("gives one request a second to as many boxes as the bound allows, and to others at another server", () => {
-    const listTakers = (id: string) =>
+  it("gives one request each to as many boxes as the bound allows, and to different boxes for another server", () => {
+    const listBoxesWithPart = (id: string) =>
       Array.from({ length: 64 }, (_, rank) => rank).filter(
         (rank) =>
           computeFleetShare(
@@ -49,7 +50,7 @@
             id as ServerId,
           ) === 1,
       );
-    expect(listTakers("a")).toHaveLength(35);
-    expect(listTakers("b")).not.toEqual(listTakers("a"));
+    expect(listBoxesWithPart("a")).toHaveLength(35);
+    expect(listBoxesWithPart("b")).not.toEqual(listBoxesWithPart("a"));
   });
 });
--- a/packages/placement/src/engineWays.ts
+++ b/packages/placement/src/engineWays.ts
@@ -1,19 +1,20 @@
 /**
- * Ways of choosing the engine for a generation, by what it has taken on. Each weighs two things against each other: memory that is spoken
- * for, which only takes room, and prompts that wait to be read, which keep the newcomer from its first event.
+ * Policies for choosing the engine of a generation by engine load. Each policy weighs two
+ * quantities: memory in use or reserved, which only takes up space, and prompts that wait to be
+ * processed, which delay the first event of a new request.
  */
 
-/** One way. */
+/** One policy. */
 export type EngineWay = Readonly<{
-  /** What it is for, in a line. */
+  /** Purpose, in one line. */
   purpose: string;
-  /** The pattern of load that it answers. */
+  /** The load pattern that it is meant for. */
   pattern: string;
-  /** How many tokens in memory one token counts for that waits to be read. */
+  /** Weight of a waiting prompt token relative to a token in memory. */
   backlogWeight: number;
 }>;
 
-/** All ways, by the names that settings choose by. */
+/** All policies, by their names in the settings. */
 export const ENGINE_WAYS = {
   free_memory: {
     purpose: "leaves the most memory free for what is to come",
@@ -21,8 +22,9 @@
     backlogWeight: 2,
   },
   /**
-   * Earns 0.940 of the worth asked for, and 0.809 in the worst windows, where `free_memory` earns 0.916 and 0.765 (`npm run
-   * measure:patterns`, wide lengths on small engines, 20 seeds); 0.007 to 0.021 more in the other three patterns.
+   * In `npm run measure:patterns` (wide lengths on small engines, 20 seeds) this policy earns 0.940
+   * of the requested worth, and 0.809 in the worst windows; `free_memory` earns 0.916 and 0.765. In
+   * the other three patterns it earns 0.007 to 0.021 more.
    */
   short_queue: {
     purpose: "lets the newcomer's prompt be read soon",
@@ -32,5 +34,5 @@
   },
 } as const satisfies Readonly<Record<string, EngineWay>>;
 
-/** Name of a way. */
+/** Name of a policy. */
 export type EngineWayName = keyof typeof ENGINE_WAYS;
--- a/packages/placement/src/fleetPlaces.ts
+++ b/packages/placement/src/fleetPlaces.ts
@@ -1,40 +1,42 @@
 /**
- * This box's place in the list of all boxes, and its part of a bound that all of them share. While the list changes, others may not
- * have heard of the change: the parts of two lists together could exceed the bound, so the smaller of the two counts for a while.
+ * This box's position in the list of all boxes, and its part of bounds that all boxes share.
+ *
+ * While the list changes, some boxes still have the old one. Parts from two lists could together
+ * exceed a bound, so for a while a box uses the smaller of its two parts.
  */
 import type { Clock } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import { computeFleetShare, type FleetPart } from "./computeFleetShare.js";
 
-/** A box's place in the list of all boxes. */
+/** A box's position in the list of all boxes. */
 export type FleetPlace = Pick<FleetPart, "rank" | "boxes">;
 
-/** A bound that all boxes share at one server. */
+/** A bound for one server that all boxes share. */
 export type SharedBound = Readonly<{
-  /** What all boxes together may do; its fraction is left out. */
+  /** What all boxes together may send; fractions are dropped. */
   whole: number;
   server: ServerId;
-  /** Whether the first boxes of the list do it for all others. */
+  /** Whether the first boxes of the list send for all others. */
   isPlacedByFirst: boolean;
 }>;
 
-/** The places of one box. */
+/** The positions of one box, present and recent. */
 export type FleetPlaces = Readonly<{
-  /** The list of all boxes has been read. */
+  /** Sets the position after the list of all boxes was read. */
   setPlace: (place: FleetPlace) => void;
-  /** This box's part; none until its first place is settled. */
+  /** Returns this box's part; 0 until its first position has settled. */
   computePart: (bound: SharedBound) => number;
 }>;
 
 /**
- * How long a box goes on with the smaller of two parts when its place in the list changes. A change reaches all boxes within some
- * 600 ms.
+ * How long a box uses the smaller of two parts after its position has changed, and sends nothing
+ * after its first position. A change reaches all boxes within about 600 ms.
  */
-const HELD_MS = 3_000;
+const SETTLING_MS = 3_000;
 
 type KeptPlace = Readonly<{ place: FleetPlace; until: number }>;
 
-/** Creates the places; there is none yet. */
+/** Creates the positions, with none set. */
 export const createFleetPlaces = (clock: Pick<Clock, "monotonic">): FleetPlaces => {
   let place: FleetPlace | undefined;
   let settledAt = Infinity;
@@ -50,7 +52,7 @@
     setPlace: (changed) => {
       const isSame = place?.rank === changed.rank && place.boxes === changed.boxes;
       if (isSame) return;
-      const until = clock.monotonic() + HELD_MS;
+      const until = clock.monotonic() + SETTLING_MS;
       if (place) earlier = [...earlier, { place, until }];
       else settledAt = until;
       place = changed;
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,9 +1,9 @@
-/** Which server takes a request. */
+/** Chooses the server for each request. */
 export type * from "./types.js";
-export { createLoadRegistry as createLoadBook } from "./loadRegistry.js";
+export { createLoadRegistry } from "./loadRegistry.js";
 export type {
   KeptReport,
-  LoadRegistry as LoadBook,
+  LoadRegistry,
   PlacedAt,
   PlacedRun,
   RunChange,
@@ -20,7 +20,7 @@
 export type { ChoiceInputs, EngineLoad } from "./chooseServer.js";
 export { ENGINE_WAYS } from "./engineWays.js";
 export type { EngineWay, EngineWayName } from "./engineWays.js";
-export { createCompetingRate as createRivalRate } from "./competingRate.js";
-export type { CompetingRate as RivalRate } from "./competingRate.js";
+export { createCompetingRate } from "./competingRate.js";
+export type { CompetingRate } from "./competingRate.js";
 export { rankTargets } from "./rankTargets.js";
 export type { MoveTarget, RunToMove } from "./rankTargets.js";
--- a/packages/placement/src/loadRegistry.ts
+++ b/packages/placement/src/loadRegistry.ts
@@ -1,55 +1,58 @@
-/** What this box has placed where, and what engines said of themselves. */
+/** Registry of what this and other boxes have placed on servers, and of the engines' reports. */
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 import type { EngineReport } from "./types.js";
 
-/** A run that this box has placed. */
+/** A run placed on an engine. */
 export type PlacedRun = Readonly<{
   id: string;
   promptTokens: number;
-  /** Tokens that it is expected to make in all. */
+  /** Tokens that the run is expected to generate in total. */
   expectedOut: number;
-  /** Its first event has come: its prompt has been read. */
+  /** Whether the first event has arrived, so that the prompt has been processed. */
   hasBegun: boolean;
-  /** It may run once only, so that it outlives its engine by a move of its memory or not at all. */
+  /**
+   * Whether the run must not be repeated, so that its memory has to be moved when its engine
+   * leaves.
+   */
   isMovable: boolean;
 }>;
 
-/** A change of this box's own runs; without a run it was dropped. */
+/** A change of this box's own runs; `run` is undefined if it was removed. */
 export type RunChange = Readonly<{
   server: ServerId;
   id: string;
   run: PlacedRun | undefined;
 }>;
 
-/** A run of this box and where it is. */
+/** A run and its server. */
 export type PlacedAt = Readonly<{ server: ServerId; run: PlacedRun }>;
 
-/** A report and when it came. */
+/** A report and the time it arrived. */
 export type KeptReport = Readonly<{ report: EngineReport; at: Ms }>;
 
-/** The book of one box. */
+/** The load on record at one box. */
 export type LoadRegistry = Readonly<{
   addOpen: (server: ServerId) => void;
   removeOpen: (server: ServerId) => void;
   countOpen: (server: ServerId) => number;
   addRun: (server: ServerId, run: PlacedRun) => void;
   removeRun: (server: ServerId, id: string) => void;
-  /** A run's first event has come. */
+  /** Records that the first event of a run has arrived. */
   markBegun: (server: ServerId, id: string) => void;
   listRuns: (server: ServerId) => readonly PlacedRun[];
   listAllRuns: () => readonly PlacedAt[];
-  /** Takes what another box tells of its runs. */
+  /** Records a run that another box has reported. */
   putPeerRun: (peer: string, placed: PlacedAt) => void;
   removePeerRun: (peer: string, server: ServerId, id: string) => void;
-  /** Forgets all that a box told. */
+  /** Removes all runs that a box has reported. */
   dropPeer: (peer: string) => void;
   listPeerRuns: (server: ServerId) => readonly PlacedRun[];
-  /** Boxes that have told of runs at a server. */
+  /** Lists the boxes that have reported runs on a server. */
   listPeersAt: (server: ServerId) => readonly string[];
   putReport: (server: ServerId, report: EngineReport, at: Ms) => void;
   findReport: (server: ServerId) => KeptReport | undefined;
-  /** Forgets a server. */
+  /** Removes a server with all that is recorded for it. */
   drop: (server: ServerId) => void;
 }>;
 
@@ -67,19 +70,19 @@
   if (placed?.size === 0) runs.delete(server);
 };
 
-/** Creates an empty book; `onChange` hears each change of this box's own runs. */
+/** Creates an empty registry; `onChange` is called for each change of this box's own runs. */
 export const createLoadRegistry = (
   onChange: (change: RunChange) => void = () => undefined,
 ): LoadRegistry => {
-  const open = new Map<ServerId, number>();
+  const openRequests = new Map<ServerId, number>();
   const runs: RunsByServer = new Map();
   const peers = new Map<string, RunsByServer>();
   const reports = new Map<ServerId, KeptReport>();
 
   const changeOpen = (server: ServerId, step: number) => {
-    const count = (open.get(server) ?? 0) + step;
-    if (count > 0) open.set(server, count);
-    else open.delete(server);
+    const count = (openRequests.get(server) ?? 0) + step;
+    if (count > 0) openRequests.set(server, count);
+    else openRequests.delete(server);
   };
   const addRun = (server: ServerId, run: PlacedRun) => {
     putRun(runs, server, run);
@@ -89,7 +92,7 @@
   return {
     addOpen: (server) => changeOpen(server, 1),
     removeOpen: (server) => changeOpen(server, -1),
-    countOpen: (server) => open.get(server) ?? 0,
+    countOpen: (server) => openRequests.get(server) ?? 0,
     addRun,
     removeRun: (server, id) => {
       dropRun(runs, server, id);
@@ -105,26 +108,28 @@
         [...placed.values()].map((run) => ({ server, run })),
       ),
     putPeerRun: (peer, { server, run }) => {
-      const told = peers.get(peer) ?? new Map<ServerId, Map<string, PlacedRun>>();
-      putRun(told, server, run);
-      peers.set(peer, told);
+      const peerRuns = peers.get(peer) ?? new Map<ServerId, Map<string, PlacedRun>>();
+      putRun(peerRuns, server, run);
+      peers.set(peer, peerRuns);
     },
     removePeerRun: (peer, server, id) => {
-      const told = peers.get(peer);
-      if (told) dropRun(told, server, id);
+      const peerRuns = peers.get(peer);
+      if (peerRuns) dropRun(peerRuns, server, id);
     },
     dropPeer: (peer) => void peers.delete(peer),
     listPeerRuns: (server) =>
-      [...peers.values()].flatMap((told) => [...(told.get(server)?.values() ?? [])]),
+      [...peers.values()].flatMap((peerRuns) => [
+        ...(peerRuns.get(server)?.values() ?? []),
+      ]),
     listPeersAt: (server) =>
-      [...peers].filter(([, told]) => told.has(server)).map(([peer]) => peer),
+      [...peers].filter(([, peerRuns]) => peerRuns.has(server)).map(([peer]) => peer),
     putReport: (server, report, at) => void reports.set(server, { report, at }),
     findReport: (server) => reports.get(server),
     drop: (server) => {
-      open.delete(server);
+      openRequests.delete(server);
       runs.delete(server);
       reports.delete(server);
-      for (const told of peers.values()) told.delete(server);
+      for (const peerRuns of peers.values()) peerRuns.delete(server);
     },
   };
 };
--- a/packages/placement/src/rankTargets.ts
+++ b/packages/placement/src/rankTargets.ts
@@ -1,82 +1,99 @@
 /**
- * Assigns the runs of a leaving engine to targets. Pure.
+ * Assigns the runs of a leaving engine to target engines. Pure.
  *
- * Every box that has runs there makes the same assignment from the engine's own list of runs, as far as their
- * views of the targets agree, and carries out its own part: so they do not all choose the emptiest one.
+ * Every box with runs on the engine computes the same assignment from the engine's own list of
+ * runs, as far as the boxes have the same figures on the targets, and moves its own runs only. So
+ * the boxes don't all choose the emptiest target.
  */
 import type { ServerId } from "@stairgauge/directory";
 
-/** A run that is to be moved. */
+/** A run to be moved. */
 export type RunToMove = Readonly<{
   id: string;
   tokensInMemory: number;
-  /** Tokens that it is expected to make yet, by its client's guess. */
+  /** Tokens the run is still expected to generate, estimated by its client. */
   tokensLeft: number;
 }>;
 
-/** An engine that may take runs. */
+/** An engine that runs may be moved to. */
 export type MoveTarget = Readonly<{
   server: ServerId;
   takenTokens: number;
   totalTokens: number;
-  /** In the same data hall as the source: a copy there takes half the time. */
+  /**
+   * Whether the target is in the same data hall as the source, where a copy takes half the time.
+   */
   isNear: boolean;
 }>;
 
 /**
- * How much more load a near target may have than a far one, when the link has time for all copies and for each
- * unit of pressure beyond that: a copy to it takes half the time, so more runs get through.
+ * How much more load a near target may have than a far one and still be preferred: a base value,
+ * and an increment per unit of pressure. Copies to near targets take half the time, so more runs
+ * are moved before the engine is gone.
  */
-const NEAR_WORTH = 0.15;
-const NEAR_WORTH_UNDER_PRESSURE = 0.35;
-/** Beyond this a target that is full would be preferred. */
+const NEAR_PREFERENCE = 0.15;
+const NEAR_PREFERENCE_PER_PRESSURE = 0.35;
+/** Higher pressure is not counted, since full targets would then be preferred. */
 const MAX_PRESSURE = 2;
 
-/** Load up to which nearness counts: beyond it the runs that are there already would pay for it. */
+/**
+ * Load up to which near targets are preferred. Beyond it the preference would slow down the runs
+ * already there.
+ */
 const CROWDED_LOAD = 0.85;
 
 /** Load beyond which a target probably refuses the copy. */
 const FULL_LOAD = 0.97;
 
-type Room = { readonly target: MoveTarget; taken: number };
+type TargetLoad = { readonly target: MoveTarget; taken: number };
 
-const computeLoad = ({ target, taken }: Room, tokens: number): number =>
+const computeLoad = ({ target, taken }: TargetLoad, tokens: number): number =>
   (taken + tokens) / target.totalTokens;
 
-const compareIds = (a: Room, b: Room): number =>
+const compareIds = (a: TargetLoad, b: TargetLoad): number =>
   a.target.server < b.target.server ? -1 : 1;
 
-const computeCost = (room: Room, tokens: number, pressure: number): number => {
-  const load = computeLoad(room, tokens);
+const computeCost = (
+  targetLoad: TargetLoad,
+  tokens: number,
+  pressure: number,
+): number => {
+  const load = computeLoad(targetLoad, tokens);
   const fullness = load > FULL_LOAD ? 1 : 0;
-  if (!room.target.isNear || load > CROWDED_LOAD) return load + fullness;
-  const nearWorth =
-    NEAR_WORTH + NEAR_WORTH_UNDER_PRESSURE * Math.min(MAX_PRESSURE, pressure);
-  return load + fullness - nearWorth;
+  if (!targetLoad.target.isNear || load > CROWDED_LOAD) return load + fullness;
+  const preference =
+    NEAR_PREFERENCE + NEAR_PREFERENCE_PER_PRESSURE * Math.min(MAX_PRESSURE, pressure);
+  return load + fullness - preference;
 };
 
 /**
- * Gives for each run its targets, best first, in the order given. `pressure` is how much of the time left the
- * copies would take if all of them went far: 1 when they just fit.
+ * Returns the targets of each run, best first, assigned in the given order of runs. `pressure` is
+ * the time for copying all runs to far targets, as a share of the time left: 1 if they just fit.
  */
 export const rankTargets = (
   runs: readonly RunToMove[],
   targets: readonly MoveTarget[],
   pressure: number,
 ): ReadonlyMap<string, readonly ServerId[]> => {
-  const rooms: Room[] = targets.map((target) => ({ target, taken: target.takenTokens }));
+  const targetLoads: TargetLoad[] = targets.map((target) => ({
+    target,
+    taken: target.takenTokens,
+  }));
   const assigned = new Map<string, readonly ServerId[]>();
   for (const run of runs) {
     const tokens = run.tokensInMemory + run.tokensLeft;
-    const ranked = rooms
-      .map((room) => ({ room, cost: computeCost(room, tokens, pressure) }))
+    const ranked = targetLoads
+      .map((targetLoad) => ({
+        room: targetLoad,
+        cost: computeCost(targetLoad, tokens, pressure),
+      }))
       .sort((a, b) => a.cost - b.cost || compareIds(a.room, b.room))
-      .map(({ room }) => room);
+      .map(({ room: targetLoad }) => targetLoad);
     const first = ranked[0];
     if (first) first.taken += tokens;
     assigned.set(
       run.id,
-      ranked.map((room) => room.target.server),
+      ranked.map((targetLoad) => targetLoad.target.server),
     );
   }
   return assigned;
--- a/packages/placement/src/sendRate.ts
+++ b/packages/placement/src/sendRate.ts
@@ -1,21 +1,28 @@
-/** How many requests were handed to each server lately, over a sliding window. Pure but for the times handed in. */
+/**
+ * Counts the requests recently placed on each server, over a sliding window. Pure but for the times
+ * passed in.
+ */
 import type { Ms } from "@stairgauge/common";
 import type { ServerId } from "@stairgauge/directory";
 
-/** Counts by server. */
+/** Counts of recent requests by server. */
 export type SendRate = Readonly<{
   record: (server: ServerId, now: Ms) => void;
-  /** Requests that may reach the server within one second of each other, as far as this box has placed them. */
+  /**
+   * Returns the number of requests that may reach the server within one second, out of those that
+   * this box has placed.
+   */
   count: (server: ServerId, now: Ms) => number;
   forget: (server: ServerId) => void;
 }>;
 
-/** The second in which a server's bound counts. */
+/** Span over which a server's bound applies. */
 const BOUND_MS = 1_000;
 
 /**
- * Creates a rate of nothing. `sendWithin` is the longest time from a placement to its request being sent: what arrives within a
- * second was placed within that second and so much before it.
+ * Creates the counter, with no requests recorded. `sendWithin` is the longest time from a placement
+ * to the sending of its request: requests that arrive within one second were placed within that
+ * second or up to `sendWithin` before it.
  */
 export const createSendRate = (sendWithin: Ms): SendRate => {
   const placedAt = new Map<ServerId, number[]>();
--- a/packages/placement/src/types.ts
+++ b/packages/placement/src/types.ts
@@ -1,25 +1,25 @@
-/** What placement knows of servers and requests. */
+/** Types of requests, engine reports and placement decisions. */
 import type { BackendServer, ServerId } from "@stairgauge/directory";
 import type { BoxName, Ms, RegionName, ServiceName } from "@stairgauge/common";
 import type { PlacedRun } from "./loadRegistry.js";
 
-/** A run that an engine reports. */
+/** A run as reported by its engine. */
 export type ReportedRun = Readonly<{
-  /** The id of the request that it answers. */
+  /** Id of the request that the run answers. */
   id: string;
   tokensInMemory: number;
   eventsMade: number;
 }>;
 
-/** An engine's own account of itself, some hundred milliseconds old when it arrives. */
+/** An engine's report on its own state, some hundred milliseconds old when it arrives. */
 export type EngineReport = Readonly<{
-  /** Time of day of the engine's start, where it says so. */
+  /** Wall time of the engine's start; undefined if the engine doesn't report it. */
   startedAt: Ms | undefined;
   isLeaving: boolean;
-  /** Time until it goes, if it knows. */
+  /** Time until the engine shuts down; undefined if it doesn't report one. */
   leavesIn: Ms | undefined;
   waiting: number;
-  /** Prompt tokens of the first that waits. */
+  /** Prompt tokens of the first waiting request. */
   firstWaitingTokens: number;
   running: number;
   memoryUsed: number;
@@ -27,18 +27,24 @@
   runs: readonly ReportedRun[];
 }>;
 
-/** What a request needs of a server. */
+/** Requirements of a request for its server. */
 export type Demand = Readonly<{
-  /** Rank, 0 first. */
+  /** Priority rank; 0 is the most urgent. */
   tier: number;
-  /** Regions whose servers alone may serve it; all where absent. */
+  /** Regions whose servers may serve the request; all regions if undefined. */
   regions?: readonly RegionName[] | undefined;
-  /** Tokens of memory that a generation takes at least and may take; none for plain requests. */
+  /**
+   * Memory that a generation needs, in tokens: the prompt at least, and the expected output.
+   * Undefined for plain requests.
+   */
   tokens:
     | Readonly<{
         prompt: number;
         expectedOut: number;
-        /** It may run once only, so its memory has to be moved when its engine leaves. */
+        /**
+         * Whether the generation must not be repeated, so that its memory has to be moved when its
+         * engine leaves.
+         */
         isMovable: boolean;
       }>
     | undefined;
@@ -49,71 +55,89 @@
 
 /** Why no server takes a request now. */
 export type NoServerReason =
-  /** None of the service is known that stays. */
+  /** The service has no server that is not leaving. */
   | "none_known"
-  /** Those that stay stand in regions that the request must not leave for. */
+  /** The servers that are not leaving are all outside the allowed regions. */
   | "none_in_regions"
-  /** Those that stay stand in data halls that are closed to new work. */
+  /** The servers that are not leaving are all in data halls closed to new work. */
   | "halls_closed"
-  /** Those left may be cold, and have had what a cold server may get. */
+  /**
+   * The remaining servers may be cold and have already got as many requests as a cold server may
+   * get.
+   */
   | "servers_cold"
-  /** Those left have named how many requests they take, and this box has sent its part. */
+  /** The remaining servers have named a request limit, and this box has sent its part of it. */
   | "servers_limited"
-  /** Those left have turned this box away, and rest. */
+  /** The remaining servers have refused this box and asked it to back off. */
   | "servers_resting"
-  /** All others were tried, or hold as many connections as this box may open. */
+  /** All servers were tried, or have as many connections as this box may open. */
   | "none_left";
 
-/** How many requests a second a server takes from all boxes, the chooser's part of them in a span, and what of it was sent. */
+/**
+ * The limit of a server over all boxes, in requests per second, the deciding box's part of it in a
+ * span, and how much of that part is used.
+ */
 export type PlacementLimit = Readonly<{ perSecond: number; part: number; used: number }>;
 
-/** A choice, with the figures that made it. */
+/** A placement decision, with the figures behind it. */
 export type PlacementDecision = Readonly<
   | {
       kind: "placed";
       server: BackendServer;
       reason: PlacementReason;
-      /** Load that the choice saw at the server chosen: requests a slot, or share of memory taken. */
+      /**
+       * Load of the chosen server when it was chosen: requests per slot, or share of memory in use.
+       */
       load: number;
-      /** Share of the engine's memory that would be spoken for with the request; none for plain servers. */
+      /**
+       * Share of the engine's memory in use or reserved once the request is placed; undefined for
+       * plain servers.
+       */
       memoryAfter: number | undefined;
-      /** Age of the report that the load rests on. */
+      /** Age of the report that the load was computed from; undefined without a report. */
       reportAge: Ms | undefined;
       candidates: number;
-      /** Servers that were passed over since they rest; set where there are some. */
+      /**
+       * Number of servers skipped because they asked for a backoff; undefined if there are none.
+       */
       resting?: number | undefined;
-      /** Set where the server has named how many requests it takes. */
+      /** The server's request limit; undefined if it has named none. */
       limited?: PlacementLimit | undefined;
     }
   | {
       kind: "no_server";
       reason: NoServerReason;
       known: number;
-      /** When one is expected to take the request, where that is known. */
+      /** Time until a server is expected to accept the request; undefined if unknown. */
       retryAfter?: Ms | undefined;
     }
 >;
 
-/** How whoever places a generation for another box is to answer while every engine is full. */
+/** How a hub that places a generation for another box answers while every engine is full. */
 export type PlaceUrgency = Readonly<
-  /** With the one where there is least to wait. */
+  /** It answers at once, with the engine that has the shortest wait. */
   | { kind: "at_once" }
-  /** By saying so. */
+  /** It answers that there is no free capacity. */
   | { kind: "if_room" }
-  /** When there is room, at the latest after `wait` with the one where there is least to wait. */
+  /**
+   * It answers as soon as there is free capacity, or after `wait` with the engine that has the
+   * shortest wait.
+   */
   | { kind: "within"; wait: Ms }
 >;
 
-/** Where a run should go, asked by a box of one that sees what all have placed. */
+/**
+ * A question where to place a run. A box sends it to a hub, which has the placements of all boxes.
+ */
 export type PlaceQuestion = Readonly<{
   box: BoxName;
   run: PlacedRun;
   service: ServiceName;
-  /** Rank, 0 first. */
+  /** Priority rank; 0 is the most urgent. */
   tier: number;
-  /** Servers that have been tried. */
+  /** Servers that have already been tried. */
   except: readonly ServerId[];
-  /** Regions whose servers alone may serve it; all where absent. */
+  /** Regions whose servers may serve the request; all regions if undefined. */
   regions?: readonly RegionName[] | undefined;
   urgency: PlaceUrgency;
 }>;
