--- a/packages/directory/src/index.ts
+++ b/packages/directory/src/index.ts
@@ -1,7 +1,7 @@
-/** Backend servers: their entries, and which of them get new work. */
+/** Directory of backend servers: their entries, and which of them get new work. */
 export type * from "./types.js";
-export { getLeavingEvidence as getLeavingBasis } from "./leavingReasons.js";
-export type { LeavingEvidence as LeavingBasis } from "./leavingReasons.js";
+export { getLeavingEvidence } from "./leavingReasons.js";
+export type { LeavingEvidence } from "./leavingReasons.js";
 export { createServerDirectory } from "./serverDirectory.js";
 export type {
   DirectoryEvent,
--- a/packages/directory/src/leavingReasons.ts
+++ b/packages/directory/src/leavingReasons.ts
@@ -1,10 +1,13 @@
-/** What the reasons for which servers get no new work rest on. Pure. */
+/** Evidence behind the reasons for which servers get no new work. Pure. */
 import type { LeavingReason } from "./types.js";
 
-/** What a mark rests on: the server's own word, an entry that is not there, or what a box has concluded. */
+/**
+ * Evidence for marking a server as leaving: its own announcement (`own_word`), a missing entry, or
+ * a conclusion of a box.
+ */
 export type LeavingEvidence = "own_word" | "entry_gone" | "concluded";
 
-const BASIS: Readonly<Record<LeavingReason, LeavingEvidence>> = {
+const EVIDENCE: Readonly<Record<LeavingReason, LeavingEvidence>> = {
   entry_says_leaving: "own_word",
   report: "own_word",
   answer_says_leaving: "own_word",
@@ -15,19 +18,18 @@
   started_again: "concluded",
 };
 
-/** Gives what the reason rests on. */
 export const getLeavingEvidence = (reason: LeavingReason): LeavingEvidence =>
-  BASIS[reason];
+  EVIDENCE[reason];
 
-/** Whether the server's entry, once it is there again, takes the mark back. */
+/** Whether the mark is removed when the server's entry is present again. */
 export const isTakenBack = (reason: LeavingReason): boolean =>
   reason === "entry_gone" || reason === "told_by_box";
 
-const computeFirmness = (reason: LeavingReason): number => {
+const computeStrength = (reason: LeavingReason): number => {
   if (isTakenBack(reason)) return 0;
-  return BASIS[reason] === "own_word" ? 2 : 1;
+  return EVIDENCE[reason] === "own_word" ? 2 : 1;
 };
 
-/** Whether a reason outlasts the one known. */
+/** Whether a reason replaces the one on record. */
 export const isStronger = (reason: LeavingReason, known: LeavingReason): boolean =>
-  computeFirmness(reason) > computeFirmness(known);
+  computeStrength(reason) > computeStrength(known);
--- a/packages/directory/src/serverDirectory.test.ts
+++ b/packages/directory/src/serverDirectory.test.ts
@@ -36,7 +36,7 @@
 const toMs = (time: number) => time as Ms;
 
 describe("createServerDirectory", () => {
-  it("gives no new work to a server that says it leaves, is gone, or whose address is reused", () => {
+  it("gives no new work to a server that announces leaving, is gone, or whose address is reused", () => {
     const { directory, listReady } = setUp();
     for (const id of ["a", "b", "c", "d"]) directory.put(makeEntry(id), toMs(0));
     directory.put(makeEntry("a", true), toMs(1));
@@ -45,14 +45,14 @@
     expect(listReady()).toEqual(["d"]);
   });
 
-  it("does not take a leaving mark back when an older entry comes again", () => {
+  it("keeps a leaving mark when an older entry arrives again", () => {
     const { directory, listReady } = setUp();
     directory.put(makeEntry("a", true), toMs(0));
     directory.put(makeEntry("a"), toMs(1));
     expect(listReady()).toEqual([]);
   });
 
-  it("takes a server back whose entry had lapsed and is there again", () => {
+  it("gives work again to a server whose entry had lapsed and is present again", () => {
     const { directory, listReady, events } = setUp();
     directory.put(makeEntry("a"), toMs(0));
     directory.mark("a" as ServerId, "entry_gone", toMs(1));
@@ -66,7 +66,7 @@
   });
 
   it.each(["answer_says_leaving", "told_own_word", "report"] as const)(
-    "gives no new work to a server by its own word, %s, however often its older entry comes, until it starts again",
+    "gives no new work after the server's own announcement (%s), however often its older entry arrives, until the server starts again",
     (reason) => {
       const { directory, listReady } = setUp();
       const old = { ...makeEntry("a"), id: "a@1" as ServerId, startedAt: 1 as Ms };
@@ -80,7 +80,7 @@
       expect(directory.find(old.id)).toBeUndefined();
       directory.put(old, toMs(5_001));
       expect(listReady()).toEqual([]);
-      // An entry that tells no start proves no new one.
+      // An entry without a start time doesn't prove a new start.
       directory.put(makeEntry("a"), toMs(5_002));
       expect(listReady()).toEqual([]);
       directory.put({ ...old, id: "a@2" as ServerId, startedAt: 2 as Ms }, toMs(5_003));
@@ -88,7 +88,7 @@
     },
   );
 
-  it("takes a server's own word also where its entry was missing before, and tells it", () => {
+  it("applies a server's own announcement also if its entry was missing before, and emits an event", () => {
     const { directory, listReady, events } = setUp();
     directory.put(makeEntry("a"), toMs(0));
     directory.mark("a" as ServerId, "entry_gone", toMs(1));
@@ -103,7 +103,7 @@
     ]);
   });
 
-  it("knows that a server leaves before it knows the server, where another box tells its own word", () => {
+  it("records an announced leaving from another box before the server is listed", () => {
     const { directory, listReady } = setUp();
     directory.mark("a" as ServerId, "told_own_word", toMs(0));
     directory.mark("b" as ServerId, "told_by_box", toMs(0));
@@ -113,7 +113,7 @@
   });
 
   it.each(["entry_gone", "told_by_box", "address_reused"] as const)(
-    "puts a server's own word above %s",
+    "prefers a server's own announcement to the reason %s",
     (concluded) => {
       const { directory, listReady } = setUp();
       directory.put(makeEntry("a"), toMs(0));
@@ -126,7 +126,7 @@
     },
   );
 
-  it("takes a server back by its entry that it had forgotten, if it only concluded that it left", () => {
+  it("gives work again to a server by its entry after it was forgotten, if its leaving was only concluded", () => {
     const { directory, listReady } = setUp();
     directory.put(makeEntry("a"), toMs(0));
     directory.mark("a" as ServerId, "address_reused", toMs(1));
@@ -137,7 +137,7 @@
     expect(listReady()).toEqual(["a"]);
   });
 
-  it("takes a server back of which another box concluded that it left", () => {
+  it("gives work again by an entry if another box had concluded that the server left", () => {
     const { directory, listReady } = setUp();
     directory.put(makeEntry("a"), toMs(0));
     directory.mark("a" as ServerId, "told_by_box", toMs(1));
@@ -145,7 +145,7 @@
     expect(listReady()).toEqual(["a"]);
   });
 
-  it("forgets the oldest of very many servers that left", () => {
+  it("drops the oldest of very many announced leavings", () => {
     const { directory, listReady } = setUp();
     for (let i = 0; i < 5_000; i += 1)
       directory.mark(`s${i}` as ServerId, "told_own_word", toMs(0));
@@ -153,7 +153,7 @@
     expect(listReady()).toEqual(["s0"]);
   });
 
-  it("gives no new work to a server in a closed data hall until that is opened again", () => {
+  it("gives no new work to a server in a closed data hall until the hall is opened again", () => {
     const { directory, listReady } = setUp();
     directory.put(makeEntry("a"), toMs(0));
     const hall = makeEntry("a").dataHall;
@@ -167,7 +167,7 @@
     expect(directory.mayTakeWork("a" as ServerId)).toBe(true);
   });
 
-  it("sends nothing to a server that it does not know or that leaves", () => {
+  it("allows no work for an unknown or leaving server", () => {
     const { directory } = setUp();
     directory.put(makeEntry("a", true), toMs(0));
     expect(directory.mayTakeWork("a" as ServerId)).toBe(false);
@@ -180,7 +180,7 @@
     startedAt: startedAt as Ms | undefined,
   });
 
-  it("takes a server that has started again under its name for another one, and the one before for gone", () => {
+  it("treats a server started again under its name as a new one, and its previous start as gone", () => {
     const { directory, events, listReady } = setUp();
     directory.put(makeStart(1_000), toMs(0));
     directory.put(makeStart(2_000), toMs(1));
@@ -192,7 +192,7 @@
     ]);
   });
 
-  it("takes nothing from an entry that an earlier start has written", () => {
+  it("ignores an entry from an earlier start", () => {
     const { directory, listReady } = setUp();
     directory.put(makeStart(2_000), toMs(0));
     directory.put(makeStart(1_000), toMs(1));
@@ -201,14 +201,14 @@
     expect(listReady()).toEqual(["a@2000"]);
   });
 
-  it("takes the newest entry where one of two starts says no time", () => {
+  it("uses the latest entry if one of two starts has no start time", () => {
     const { directory, listReady } = setUp();
     directory.put(makeStart(undefined), toMs(0));
     directory.put(makeStart(2_000), toMs(1));
     expect(listReady()).toEqual(["a@2000"]);
   });
 
-  it("gives no new work to a server whose entry cannot be used, without calling it gone, until one can", () => {
+  it("gives no new work to a server with an unusable entry, without marking it as leaving, until a usable entry arrives", () => {
     const { directory, events, listReady } = setUp();
     directory.put(makeEntry("a"), toMs(0));
     directory.put(makeEntry("b"), toMs(0));
@@ -222,7 +222,7 @@
     expect(listReady()).toEqual(["a", "b"]);
   });
 
-  it("remembers a server that left until its runs had time to move", () => {
+  it("keeps a server that left until its runs had time to move", () => {
     const { directory } = setUp();
     directory.put(makeEntry("a", true), toMs(0));
     directory.dropForgotten(toMs(1_000));
--- a/packages/directory/src/serverDirectory.ts
+++ b/packages/directory/src/serverDirectory.ts
@@ -1,4 +1,4 @@
-/** The list of backend servers, changed through entries and marks only. */
+/** The list of backend servers. It is changed only by entries and by marks. */
 import type { DataHallName, Ms, ServiceName } from "@stairgauge/common";
 import { getLeavingEvidence, isStronger, isTakenBack } from "./leavingReasons.js";
 import type {
@@ -9,50 +9,62 @@
   ServerName,
 } from "./types.js";
 
-/** A change that others act on. */
+/** A change of the directory. */
 export type DirectoryEvent = Readonly<
   | { kind: "joined"; server: BackendServer }
-  /** A known server's entry says something else than before. */
+  /** The entry of a listed server has different contents. */
   | { kind: "changed"; server: BackendServer }
   | { kind: "leaving"; server: BackendServer }
-  /** Its entry cannot be used: no new work goes there, and what runs there runs on. */
+  /** The server's entry can't be used: it gets no new work, and its present requests continue. */
   | { kind: "unusable"; server: BackendServer }
   | { kind: "forgotten"; server: BackendServer }
 >;
 
-/** What a directory is given. */
+/** Options of a directory. */
 export type DirectoryOptions = Readonly<{
-  /** How long a leaving server is leftBefore, so that its runs can still be moved. */
+  /** How long a leaving server stays listed, so that its runs can still be moved. */
   memory: Ms;
   onEvent: (event: DirectoryEvent) => void;
 }>;
 
-/** The servers that a box knows. */
+/** The backend servers on record at one box. */
 export type ServerDirectory = Readonly<{
-  /** Takes one server's entry; an entry of an earlier start than the one known says nothing. */
+  /**
+   * Adds or updates a server's entry. An entry from an earlier start than the one on record is
+   * ignored.
+   */
   put: (entry: ServerEntry, now: Ms) => void;
-  /** What is listed under the name can't be used as an entry: until one can, no new work goes there. */
+  /**
+   * Records that the entry under the name can't be used. The server gets no new work until a usable
+   * entry arrives.
+   */
   markUnusable: (name: ServerName) => void;
-  /** Marks a start of a server that gets no new work, known or not; the entry takes back only what it can disprove. */
+  /**
+   * Marks one start of a server as getting no new work, whether it is listed yet or not. A later
+   * entry removes only marks that it can disprove.
+   */
   mark: (id: ServerId, reason: LeavingReason, now: Ms) => void;
   find: (id: ServerId) => BackendServer | undefined;
-  /** All starts that are known under a name. */
+  /** Lists all starts on record under a name. */
   listStarts: (name: ServerName) => readonly BackendServer[];
-  /** Replaces the data halls whose servers get no new work until they are opened again. */
+  /**
+   * Replaces the set of data halls that are closed: their servers get no new work until they are
+   * opened again.
+   */
   setClosedHalls: (halls: ReadonlySet<DataHallName>) => void;
   isHallClosed: (hall: DataHallName) => boolean;
-  /** Whether a server is known, stays, and stands in an open data hall. */
+  /** Whether a server is listed, is not leaving, and is in an open data hall. */
   mayTakeWork: (id: ServerId) => boolean;
-  /** Servers of a service that may get new work. */
+  /** Lists the servers of a service that may get new work. */
   listReady: (service: ServiceName) => readonly BackendServer[];
-  /** Servers of a service that stay, in closed data halls too. */
+  /** Lists the servers of a service that are not leaving, including those in closed data halls. */
   listStaying: (service: ServiceName) => readonly BackendServer[];
   list: () => readonly BackendServer[];
-  /** Forgets servers that left long ago. */
+  /** Removes servers that left longer ago than `memory`. */
   dropForgotten: (now: Ms) => void;
 }>;
 
-/** Starts that are no longer listed here, of which it is leftBefore that they leave. */
+/** Maximum number of unlisted starts for which an announced leaving is kept. */
 const MAX_LEFT_BEFORE = 4_096;
 
 const isSameEntry = (a: ServerEntry, b: ServerEntry): boolean =>
@@ -64,14 +76,19 @@
   a.isLeaving === b.isLeaving &&
   a.warmUpLeft === b.warmUpLeft;
 
-/** Whether an entry was written by a start before the other one; without a time of both nobody can tell. */
+/**
+ * Whether an entry is from an earlier start than the other. False unless both have a start time.
+ */
 const isEarlier = (entry: ServerEntry, other: ServerEntry): boolean =>
   entry.startedAt !== undefined &&
   other.startedAt !== undefined &&
   entry.startedAt < other.startedAt;
 
-/** Whether an entry that tells no start may be of the start before, which says itself that it leaves. */
-const mayBeOfOneThatLeft = (
+/**
+ * Whether an entry without a start time may be from the previous start, which has announced itself
+ * that it leaves.
+ */
+const mayBeOfStartThatLeft = (
   entry: ServerEntry,
   { entry: other, leaving }: BackendServer,
 ) =>
@@ -80,13 +97,15 @@
   leaving !== undefined &&
   getLeavingEvidence(leaving.reason) === "own_word";
 
-/** Creates an empty directory. */
 export const createServerDirectory = (options: DirectoryOptions): ServerDirectory => {
   const { memory, onEvent } = options;
   const servers = new Map<ServerId, BackendServer>();
   const unusable = new Set<ServerName>();
-  /** Starts that are not listed here, by whose own word they leave: their entries may come (again). */
-  const leftBefore = new Map<ServerId, LeavingReason>();
+  /**
+   * Announced leaving reasons of starts that are not listed, since their entries may still arrive
+   * or arrive again.
+   */
+  const announcedLeaving = new Map<ServerId, LeavingReason>();
   let closedHalls: ReadonlySet<DataHallName> = new Set();
 
   const isOpen = ({ entry }: BackendServer) => !closedHalls.has(entry.dataHall);
@@ -101,9 +120,9 @@
 
   const recordLeft = (id: ServerId, reason: LeavingReason) => {
     if (getLeavingEvidence(reason) !== "own_word") return;
-    leftBefore.set(id, reason);
-    const [oldest] = leftBefore.keys();
-    if (leftBefore.size > MAX_LEFT_BEFORE) leftBefore.delete(oldest!);
+    announcedLeaving.set(id, reason);
+    const [oldest] = announcedLeaving.keys();
+    if (announcedLeaving.size > MAX_LEFT_BEFORE) announcedLeaving.delete(oldest!);
   };
   const mark = (id: ServerId, reason: LeavingReason, now: Ms) => {
     const server = servers.get(id);
@@ -117,17 +136,18 @@
   const put = (entry: ServerEntry, now: Ms) => {
     const others = listStarts(entry.name).filter((one) => one.entry.id !== entry.id);
     if (others.some((other) => isEarlier(entry, other.entry))) return;
-    if (others.some((other) => mayBeOfOneThatLeft(entry, other))) return;
+    if (others.some((other) => mayBeOfStartThatLeft(entry, other))) return;
     unusable.delete(entry.name);
     for (const other of others) mark(other.entry.id, "started_again", now);
     const known = servers.get(entry.id);
-    const reasonBefore = leftBefore.get(entry.id);
+    const reasonBefore = announcedLeaving.get(entry.id);
     if (!known && reasonBefore) {
       servers.set(entry.id, { entry, leaving: { reason: reasonBefore, since: now } });
       return;
     }
-    // An entry that came back after an outage of the store lives on under the same identity, and what the store says of a server goes
-    // before what another box concluded. It may be older than the server's own word: a store that is away takes none.
+    // An entry that is present again after an outage of the store belongs to the same start, and
+    // the store is more reliable than the conclusion of another box. But the entry may be older
+    // than the server's own announcement, since the store accepts no writes during an outage.
     const reason = known?.leaving?.reason;
     const hasReturned = reason !== undefined && isTakenBack(reason);
     const leaving = hasReturned ? undefined : known?.leaving;
--- a/packages/directory/src/types.ts
+++ b/packages/directory/src/types.ts
@@ -1,4 +1,4 @@
-/** Backend servers as a box knows them. */
+/** Types of backend servers and their entries. */
 import type {
   Brand,
   DataHallName,
@@ -7,49 +7,55 @@
   ServiceName,
 } from "@stairgauge/common";
 
-/** Identity of one start of a backend server; a restart has another, under the same name or a new one. */
+/**
+ * Identity of one start of a backend server. After a restart the server has another id, under the
+ * same name or a new one.
+ */
 export type ServerId = Brand<string, "ServerId">;
 
-/** Name under which a server is listed, and by which it knows itself. */
+/** Name under which a server is listed and that it uses for itself. */
 export type ServerName = Brand<string, "ServerName">;
 
-/** Where a server listens, by IP number. */
+/** IP address and port on which a server listens. */
 export type ServerAddress = HostAndPort;
 
-/** What a server's own entry says. */
+/** A server's own entry in the list of servers. */
 export type ServerEntry = Readonly<{
   id: ServerId;
   name: ServerName;
-  /** Time of day of its start, as it says itself; a server that started earlier under the same name is gone. */
+  /**
+   * Wall time of the server's start as given by itself; undefined if it gives none. A server of the
+   * same name that started earlier is gone.
+   */
   startedAt: Ms | undefined;
   service: ServiceName;
   address: ServerAddress;
   dataHall: DataHallName;
-  /** Requests that it works on at once. */
+  /** Number of requests that the server processes at the same time. */
   slots: number;
   isLeaving: boolean;
-  /** How much longer it stays slow from its start, when the entry was written. */
+  /** How much longer the server is slow after its start, at the time the entry was written. */
   warmUpLeft: Ms;
 }>;
 
-/** Why a server gets no new work. */
+/** Why a server gets no new work. The values are written to logs. */
 export type LeavingReason =
   | "entry_says_leaving"
   | "entry_gone"
   | "report"
-  /** It says so in an answer to this box. */
+  /** The server announced it in an answer to this box. */
   | "answer_says_leaving"
-  /** It has said so to another box. */
+  /** The server announced it to another box. */
   | "told_own_word"
   | "address_reused"
-  /** Another box has found out, not by the server's own word. */
+  /** Another box concluded it, without an announcement of the server. */
   | "told_by_box"
-  /** A server that started later says that it has its name. */
+  /** A server that started later has the same name. */
   | "started_again";
 
-/** A server and what the box believes of it. */
+/** A server's entry, and whether it is leaving. */
 export type BackendServer = Readonly<{
   entry: ServerEntry;
-  /** Set once it gets no new work. */
+  /** Set once the server gets no new work because it leaves or is gone. */
   leaving: Readonly<{ reason: LeavingReason; since: Ms }> | undefined;
 }>;
