--- a/packages/directory/src/serverDirectory.ts
+++ b/packages/directory/src/serverDirectory.ts
@@ -65,7 +65,7 @@
 }>;
 
 /** Maximum number of unlisted starts for which an announced leaving is kept. */
-const MAX_LEFT_BEFORE = 4_096;
+const MAX_ANNOUNCED_LEAVING = 4_096;
 
 const isSameEntry = (a: ServerEntry, b: ServerEntry): boolean =>
   a.service === b.service &&
@@ -122,7 +122,7 @@
     if (getLeavingEvidence(reason) !== "own_word") return;
     announcedLeaving.set(id, reason);
     const [oldest] = announcedLeaving.keys();
-    if (announcedLeaving.size > MAX_LEFT_BEFORE) announcedLeaving.delete(oldest!);
+    if (announcedLeaving.size > MAX_ANNOUNCED_LEAVING) announcedLeaving.delete(oldest!);
   };
   const mark = (id: ServerId, reason: LeavingReason, now: Ms) => {
     const server = servers.get(id);
--- a/packages/placement/src/rankTargets.ts
+++ b/packages/placement/src/rankTargets.ts
@@ -84,11 +84,11 @@
     const tokens = run.tokensInMemory + run.tokensLeft;
     const ranked = targetLoads
       .map((targetLoad) => ({
-        room: targetLoad,
+        targetLoad,
         cost: computeCost(targetLoad, tokens, pressure),
       }))
-      .sort((a, b) => a.cost - b.cost || compareIds(a.room, b.room))
-      .map(({ room: targetLoad }) => targetLoad);
+      .sort((a, b) => a.cost - b.cost || compareIds(a.targetLoad, b.targetLoad))
+      .map(({ targetLoad }) => targetLoad);
     const first = ranked[0];
     if (first) first.taken += tokens;
     assigned.set(
