--- a/packages/placement/src/engineWays.ts
+++ b/packages/placement/src/engineWays.ts
@@ -17,8 +17,8 @@
 /** All policies, by their names in the settings. */
 export const ENGINE_WAYS = {
   free_memory: {
-    purpose: "leaves the most memory free for what is to come",
-    pattern: "long streams that come evenly, on engines with memory to spare",
+    purpose: "leaves the most memory free for later requests",
+    pattern: "long streams that arrive evenly, on engines with memory to spare",
     backlogWeight: 2,
   },
   /**
@@ -27,9 +27,9 @@
    * the other three patterns it earns 0.007 to 0.021 more.
    */
   short_queue: {
-    purpose: "lets the newcomer's prompt be read soon",
+    purpose: "starts processing the prompt of a new request soon",
     pattern:
-      "short answers to long prompts beside long streams, on engines that are nearly full",
+      "short answers to long prompts, mixed with long streams, on engines that are nearly full",
     backlogWeight: 4,
   },
 } as const satisfies Readonly<Record<string, EngineWay>>;
