--- a/packages/directory/src/index.ts
+++ b/packages/directory/src/index.ts
@@ -1,4 +1,4 @@
-/** Backend servers: their entries, and which of them get new work. */
+/** Directory of backend servers: their entries, and which of them get new work. */
 export type * from "./types.js";
 export { getLeavingEvidence } from "./leavingReasons.js";
 export type { LeavingEvidence } from "./leavingReasons.js";
--- a/packages/fleet/src/adviseOthers.ts
+++ b/packages/fleet/src/placeHub.ts
@@ -1,4 +1,7 @@
-/** Advice of a hub to other boxes: where a run goes, by what all have placed, and when, while every engine is full. */
+/**
+ * A hub's advice to other boxes: on which engine to place a run, by the placements of all boxes,
+ * and when, while every engine is full.
+ */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
 import { hasRoomFor, placeWithRoom, type WaitQueue } from "@stairgauge/forwarding";
@@ -10,11 +13,11 @@
 } from "@stairgauge/placement";
 import type { FleetPlacer } from "./createPlacer.js";
 
-/** What it is told. */
+/** The advice given: a decision, or that no engine has free capacity (`no_room`). */
 export type GivenAdvice =
   PlacementDecision | Readonly<{ kind: "no_room"; memoryAfter: number }>;
 
-/** What advising needs. */
+/** Dependencies of the hub. */
 export type PlaceHubOptions = Readonly<{
   clock: Clock;
   book: LoadRegistry;
@@ -22,22 +25,31 @@
   waitingRoom: WaitQueue;
 }>;
 
-/** Advises. */
+/** Answers questions of other boxes. */
 export type PlaceHub = Readonly<{
-  /** The asking box has left when the signal says so. */
-  answer: (asked: PlaceQuestion, signal: AbortSignal) => Promise<GivenAdvice>;
+  /** Answers a question. The signal is aborted when the asking box no longer waits. */
+  answer: (question: PlaceQuestion, signal: AbortSignal) => Promise<GivenAdvice>;
 }>;
 
-/** A place that was given is kept this long for the box to say that it took it, a few ms later as a rule. */
+/**
+ * How long a given place is reserved until the box confirms that it uses it, which normally takes a
+ * few milliseconds.
+ */
 const CONFIRM_MS = 500 as Ms;
 
-/** Creates the adviser. */
+/** Creates the hub. */
 export const createPlaceHub = (options: PlaceHubOptions): PlaceHub => {
   const { clock, book, placer, waitingRoom } = options;
 
-  /** Notes the run as the box would tell it, so that the next who asks sees it; its own word then replaces this one. */
-  const reservePlace = ({ box, run: told, tier }: PlaceQuestion, at: BackendServer) => {
-    const run = { ...told };
+  /**
+   * Records the run as the box itself would report it, so that it counts for the next question. The
+   * box's own report then replaces this record.
+   */
+  const reservePlace = (
+    { box, run: askedRun, tier }: PlaceQuestion,
+    at: BackendServer,
+  ) => {
+    const run = { ...askedRun };
     const server = at.entry.id;
     placer.recordSend(at, tier);
     book.putPeerRun(box, { server, run });
@@ -60,36 +72,37 @@
     return placer.chooseForOther(service, demand, new Set(except));
   };
 
-  const placeFor = (asked: PlaceQuestion, decision: PlacementDecision) => {
-    if (decision.kind === "placed") reservePlace(asked, decision.server);
+  const placeFor = (question: PlaceQuestion, decision: PlacementDecision) => {
+    if (decision.kind === "placed") reservePlace(question, decision.server);
     return decision;
   };
 
-  const awaitRoom = (asked: PlaceQuestion, wait: Ms, signal: AbortSignal) =>
+  const waitForCapacity = (question: PlaceQuestion, wait: Ms, signal: AbortSignal) =>
     new Promise<GivenAdvice>((resolve) => {
-      const { service, tier } = asked;
+      const { service, tier } = question;
       const until = (clock.monotonic() + wait) as Ms;
-      const leave = placeWithRoom(
+      const cancelWait = placeWithRoom(
         { waitingRoom },
         { service, tier, until },
         {
-          choose: () => choose(asked),
-          place: (decision) => resolve(placeFor(asked, decision)),
+          choose: () => choose(question),
+          place: (decision) => resolve(placeFor(question, decision)),
           tell: () => undefined,
         },
       );
-      signal.addEventListener("abort", leave, { once: true });
+      signal.addEventListener("abort", cancelWait, { once: true });
     });
 
   return {
-    answer: async (asked, signal) => {
-      const { service, tier, urgency } = asked;
+    answer: async (question, signal) => {
+      const { service, tier, urgency } = question;
       if (urgency.kind === "if_room") placer.recordArrival(service, tier);
-      if (urgency.kind === "within") return awaitRoom(asked, urgency.wait, signal);
-      const decision = choose(asked);
-      const isGiven =
-        urgency.kind === "at_once" || hasRoomFor(waitingRoom, asked, decision);
-      if (isGiven) return placeFor(asked, decision);
+      if (urgency.kind === "within")
+        return waitForCapacity(question, urgency.wait, signal);
+      const decision = choose(question);
+      const isPlacedNow =
+        urgency.kind === "at_once" || hasRoomFor(waitingRoom, question, decision);
+      if (isPlacedNow) return placeFor(question, decision);
       const memoryAfter = decision.kind === "placed" ? (decision.memoryAfter ?? 0) : 0;
       return { kind: "no_room", memoryAfter };
     },
--- a/packages/fleet/src/placing.testkit.ts
+++ b/packages/fleet/src/placing.testkit.ts
@@ -1,4 +1,4 @@
-/** A placer before some servers, on a virtual clock, as tests of placing need one. */
+/** A placer with some servers on a virtual clock, for tests of placement. */
 import {
   createSeededRandom,
   createVirtualClock,
@@ -26,10 +26,10 @@
 export const SERVICE = "writers" as ServiceName;
 const HALL = "h" as DataHallName;
 
-/** Names a server of the service by its number. */
+/** Returns the id of a server by its index. */
 export const toServerId = (index: number) => `e${index}` as ServerId;
 
-/** Creates the placer of a site with so many servers. */
+/** Creates a placer with the given number of servers. */
 export const createTestPlacer = (servers: number, warmUp?: WarmUp) => {
   const clock = createVirtualClock();
   const random = createSeededRandom(3);
--- a/packages/limits/src/index.ts
+++ b/packages/limits/src/index.ts
@@ -1,4 +1,7 @@
-/** Limits that backend servers in need name in their answers, and what boxes that know one send. */
+/**
+ * Limits that overloaded backend servers name in their answers, and how much each box may send
+ * under them.
+ */
 export type * from "./types.js";
 export { NO_LIMIT_UPDATE } from "./constants.js";
 export { createRenewalGatherer } from "./gatherRenewals.js";
--- a/packages/placement/src/chooseServer.test.ts
+++ b/packages/placement/src/chooseServer.test.ts
@@ -75,35 +75,36 @@
 };
 
 describe("chooseServer for generations", () => {
-  it("sends a newcomer past a prompt that waits to be read to an engine with less memory free", () => {
+  it("prefers an engine with less free memory over one with a waiting prompt", () => {
     const book = createLoadRegistry();
     const [soon, later] = [a.entry.id, b.entry.id];
     const run = { expectedOut: 0, isMovable: true };
     book.addRun(soon, { ...run, id: "r1", promptTokens: 17_000, hasBegun: true });
     book.addRun(later, { ...run, id: "r2", promptTokens: 5_000, hasBegun: false });
     for (const id of [soon, later]) book.putReport(id, makeReport(), 1_000 as Ms);
-    // By memory alone, even with what waits counted three times, the other one is emptier: 15,000 of 34,000 tokens.
+    // By memory alone, even with waiting prompts counted three times, the other engine is emptier:
+    // 15,000 of 34,000 tokens.
     for (let seed = 0; seed < 20; seed += 1)
       expect(choose(book, GENERATION, [a, b], { random: createSeededRandom(seed) })).toBe(
         soon,
       );
   });
 
-  it("avoids an engine that another box has just filled, before any report shows it", () => {
+  it("avoids an engine that another box has just filled, before any report shows this", () => {
     const book = createLoadRegistry();
     for (const id of ["1", "2", "3"])
       book.putPeerRun("box", { server: a.entry.id, run: makeRun(id) });
     expect(choose(book)).toBe("b");
   });
 
-  it("avoids prompts that wait to be read more than memory that is merely taken", () => {
+  it("avoids waiting prompts more than memory in use", () => {
     const book = createLoadRegistry();
     book.addRun(a.entry.id, makeRun("1", { hasBegun: false, promptTokens: 3_000 }));
     book.addRun(b.entry.id, makeRun("2", { promptTokens: 5_500 }));
     expect(choose(book)).toBe("b");
   });
 
-  it("counts a run once that both a box and the engine tell of", () => {
+  it("counts a run once if both a box and the engine report it", () => {
     const book = createLoadRegistry();
     const runs = [{ id: "1", tokensInMemory: 3_000, eventsMade: 3 }];
     book.addRun(a.entry.id, makeRun("1"));
@@ -116,7 +117,7 @@
     expect(choose(book)).toBe("a");
   });
 
-  it("counts the prompts of other boxes that waited when the report was made", () => {
+  it("counts the prompts of other boxes that were waiting when the report was made", () => {
     const book = createLoadRegistry();
     book.putReport(
       a.entry.id,
@@ -127,7 +128,7 @@
     expect(choose(book)).toBe("b");
   });
 
-  it("does not send all boxes to the one engine that is empty, as far as they cannot see each other", () => {
+  it("spreads placements beyond the one empty engine if boxes can't see each other's placements", () => {
     const engines = ["new", "1", "2", "3", "4", "5"].map((id) => makeServer(id));
     const book = createLoadRegistry();
     for (const { entry } of engines.slice(1))
@@ -144,7 +145,7 @@
     expect(countNew(5)).toBeLessThan(80);
   });
 
-  it("has nobody to choose when there is none", () => {
+  it("returns no server if there are no candidates", () => {
     expect(choose(createLoadRegistry(), GENERATION, [])).toBe("no_server");
   });
 });
@@ -152,7 +153,7 @@
 describe("chooseServer for plain requests", () => {
   const plain = { tokens: undefined };
 
-  it("takes the least busy, the own data hall first", () => {
+  it("chooses the least busy server, and one in the own data hall on a tie", () => {
     const far = makeServer("far", "other");
     const book = createLoadRegistry();
     expect(choose(book, plain, [far, a])).toBe("a");
--- a/packages/placement/src/competingRate.test.ts
+++ b/packages/placement/src/competingRate.test.ts
@@ -3,7 +3,7 @@
 import { createCompetingRate } from "./index.js";
 
 describe("createCompetingRate", () => {
-  it("expects none where nobody tells of any, and forgets what is long ago", () => {
+  it("expects none if none are reported, and drops old placements", () => {
     const rate = createCompetingRate();
     expect(rate.estimate(5_000 as Ms)).toBe(0);
     rate.record(30, 5_000 as Ms);
@@ -11,7 +11,7 @@
     expect(rate.estimate(25_000 as Ms)).toBeLessThan(0.001);
   });
 
-  it("comes to the placements of the time in which they are not seen", () => {
+  it("estimates the placements made during the propagation time", () => {
     const rate = createCompetingRate();
     const PER_SECOND = 40;
     for (let at = 0; at < 20_000; at += 1_000 / PER_SECOND) rate.record(1, at as Ms);
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-/** Which server takes a request. */
+/** Chooses the server for each request. */
 export type * from "./types.js";
 export { createLoadRegistry } from "./loadRegistry.js";
 export type {
