--- a/packages/outcomes/src/claimTypes.ts
+++ b/packages/outcomes/src/claimTypes.ts
@@ -1,40 +1,43 @@
-/** Claims: what shows that a call which may run once has been taken, and by which attempt. */
+/** Types of claims. A claim is a stored record that reserves an at-most-once call for one attempt. */
 import type { Outcome } from "./types.js";
 
-/** An answer kept so that a repeat gets the same. `body` is base64. */
+/** A stored answer, sent again when the caller repeats the call. `body` is base64. */
 export type KeptAnswer = Readonly<{
   status: number;
   headers: Readonly<Record<string, string | readonly string[]>>;
   body: string;
 }>;
 
-/** How far a claimed call has come. */
+/** Progress of a claimed call. */
 export type ClaimState = Readonly<
-  /** Taken; the call may be running. */
+  /** An attempt holds the claim; the call may be running. */
   | { kind: "claimed" }
-  /** Ran; the answer is kept unless it was too large. */
+  /** The call ran. `answer` is undefined when it was too large to store. */
   | { kind: "ran"; answer: KeptAnswer | undefined }
-  /** It surely did not run; the key may be claimed again. */
+  /** The call certainly did not run; the key may be claimed again. */
   | { kind: "not_run" }
-  /** Whether it ran will never be known; it is not run again. */
+  /** Nothing shows whether the call ran, so it is never run again. */
   | { kind: "unknown" }
 >;
 
-/** A claim as the table service keeps it. */
+/** A claim as it is stored in the platform's table service. */
 export type Claim = Readonly<{
-  /** Id of the attempt that holds the claim; tells a lost answer of its own write. */
+  /**
+   * Id of the attempt that holds the claim. An attempt that reads back its own id has made the write
+   * whose answer was lost.
+   */
   attempt: string;
-  /** Identity of the call's content: another content under the same key is refused. */
+  /** Hash of the call's content. A call with the same key and other content is refused. */
   contentHash: string;
-  /** Wall time after which the attempt has surely been given up, milliseconds since 1970. */
+  /** Wall time from which the attempt has certainly been given up, milliseconds since 1970. */
   expiresAt: number;
   state: ClaimState;
 }>;
 
-/** A claim and the revision that a compare-and-set names. */
+/** A stored claim, and its revision for compare-and-set writes. */
 export type FoundClaim = Readonly<{ claim: Claim; revision: number }>;
 
-/** What happened around a call that may run once. */
+/** Input of the state machine of an at-most-once call. */
 export type OnceEvent = Readonly<
   | { kind: "started" }
   | { kind: "claimWritten"; revision: number }
@@ -43,36 +46,36 @@
   | { kind: "claimRead"; found: FoundClaim | undefined }
   | { kind: "readFailed" }
   | { kind: "storeUnavailable" }
-  /** The call was answered whole. */
+  /** The whole answer arrived. `answer` is undefined when it was too large to store. */
   | { kind: "answered"; answer: KeptAnswer | undefined }
   /** The call ended without a whole answer. */
   | { kind: "callFailed"; outcome: Outcome }
 >;
 
-/** Why a call that may run once was not run now. */
+/** Why an at-most-once call was not sent. */
 export type OnceRefusal =
   /** The store cannot be reached, so nothing was sent. */
   | "store_unavailable"
-  /** The key was used with another content. */
+  /** The key was used before with other content. */
   | "key_reused"
-  /** Another attempt holds the claim and has said nothing yet. */
+  /** Another attempt holds the claim and has not recorded its end. */
   | "in_progress"
-  /** An earlier attempt may have run; it is not run again. */
+  /** An earlier attempt may have run, so the call is not sent again. */
   | "outcome_unknown"
-  /** An earlier attempt ran; its answer was too large to keep. */
+  /** An earlier attempt ran, and its answer was too large to store. */
   | "already_ran";
 
-/** What the guard asks its shell to do. */
+/** Output of the state machine: what its caller has to do next. */
 export type OnceAction = Readonly<
-  /** Write the claim, if `expectedRevision` (no row where undefined) still stands. */
+  /** Write the claim if the row's revision is `expectedRevision`; undefined: if there is no row. */
   | { kind: "writeClaim"; claim: Claim; expectedRevision: number | undefined }
   | { kind: "readClaim" }
-  /** The claim is confirmed: send the call, once. */
+  /** The claim is confirmed: send the call, exactly once. */
   | { kind: "send" }
   | { kind: "refuse"; reason: OnceRefusal; outcome: Outcome }
   | { kind: "replay"; answer: KeptAnswer }
-  /** The call was refused while its claim may stand: mark it not run, best effort. */
+  /** The call was refused, but its claim may have been stored: mark it as not run, best effort. */
   | { kind: "releaseClaim" }
-  /** Record how the call ended; best effort. */
+  /** Record how the call ended, best effort. */
   | { kind: "writeEnd"; claim: Claim; expectedRevision: number }
 >;
--- a/packages/outcomes/src/combineOutcomes.ts
+++ b/packages/outcomes/src/combineOutcomes.ts
@@ -1,4 +1,4 @@
-/** The algebra of outcomes over one or more attempts of the same call. */
+/** Derives the outcome of a call from the outcomes of its attempts. */
 import { assertNever } from "@stairgauge/common";
 import type { LinkFailure, Outcome } from "./types.js";
 
@@ -8,16 +8,16 @@
 >;
 
 /**
- * Combines the outcomes of all attempts of one call: a run that is known wins, then doubt;
- * "not run" needs every attempt to be "not run". No attempt at all is "not run".
+ * Combines the outcomes of all attempts of one call: `ran` takes precedence, then `unknown`. The
+ * result is `not_run` only if every attempt is `not_run`, or if there is no attempt.
  */
 export const combineOutcomes = (outcomes: readonly Outcome[]): Outcome =>
   outcomes.reduce<Outcome>(
-    (worst, next) => (WEIGHT[next] > WEIGHT[worst] ? next : worst),
+    (combined, next) => (WEIGHT[next] > WEIGHT[combined] ? next : combined),
     "not_run",
   );
 
-/** Derives what a failed attempt allows to be said; doubt unless the failure excludes a run. */
+/** Outcome of a failed attempt: `unknown` unless the failure rules out that the server ran it. */
 export const toOutcome = (failure: LinkFailure): Outcome => {
   switch (failure.kind) {
     case "connect_failed":
--- a/packages/outcomes/src/index.ts
+++ b/packages/outcomes/src/index.ts
@@ -1,4 +1,4 @@
-/** Ran, not run, unknown: what may be said of a call, and why. */
+/** Outcomes of calls (ran, not run, unknown), and the state machine of at-most-once calls. */
 export type { LinkFailure, Outcome } from "./types.js";
 export { combineOutcomes, toOutcome } from "./combineOutcomes.js";
 export type {
--- a/packages/outcomes/src/onceCall.ts
+++ b/packages/outcomes/src/onceCall.ts
@@ -1,9 +1,10 @@
 /**
- * The guard of one call that may run once, as a pure state machine.
+ * State machine of one at-most-once call, without I/O.
  *
- * Nothing is sent before the claim is confirmed by the answer to its write or by reading it back. The
- * write is repeated only with the same attempt id, so a write whose answer was lost counts as ours
- * when it is found. A claim without an end is never run again.
+ * The call is sent only after its claim is confirmed, by the answer to the write or by reading the
+ * claim back. Every repeated write carries the same attempt id, so a claim that is found with this id
+ * is this attempt's own, even if the answer to the write was lost. A call whose claim shows no end is
+ * never sent again.
  */
 import { assertNever } from "@stairgauge/common";
 import type {
@@ -16,15 +17,15 @@
 } from "./claimTypes.js";
 import type { Outcome } from "./types.js";
 
-/** Writes of one claim whose answers may be lost before the call is given up. */
+/** Max writes of one claim before the call is refused. */
 const MAX_CLAIM_WRITES = 4;
 
-/** Reads of one claim that may fail before the call is given up. */
+/** Max reads of one claim before the call is refused. */
 const MAX_CLAIM_READS = 4;
 
-/** The guard of one call. */
+/** State machine of one at-most-once call. */
 export type OnceCall = Readonly<{
-  /** Applies an event at a wall time, milliseconds since 1970. */
+  /** Applies an event and returns what to do next. `now` is wall time, milliseconds since 1970. */
   handle: (event: OnceEvent, now: number) => readonly OnceAction[];
 }>;
 
@@ -40,18 +41,20 @@
   already_ran: "ran",
 } as const satisfies Record<OnceRefusal, Outcome>;
 
-/** Creates the guard of a call. `attempt` is unique to this call on this box. */
+/** Creates the state machine of one call. */
 export const createOnceCall = (options: {
+  /** Id of this attempt; every call on every box has its own. */
   readonly attempt: string;
   readonly contentHash: string;
-  /** When this attempt will surely have been given up, milliseconds since 1970. */
+  /** Wall time from which this attempt has certainly been given up, milliseconds since 1970. */
   readonly expiresAt: number;
 }): OnceCall => {
   const { attempt, contentHash, expiresAt } = options;
   let phase: Phase = "claiming";
   let writes = 0;
   let reads = 0;
-  let mayStand = false;
+  /** Whether a write of this attempt may have been stored although its answer was lost. */
+  let mayHoldClaim = false;
   let revision = 0;
   let expectedRevision: number | undefined;
 
@@ -77,7 +80,7 @@
       reason,
       outcome: REFUSAL_OUTCOMES[reason],
     };
-    return mayStand ? [refusal, { kind: "releaseClaim" }] : [refusal];
+    return mayHoldClaim ? [refusal, { kind: "releaseClaim" }] : [refusal];
   };
 
   const readClaim = (): readonly OnceAction[] => {
@@ -98,11 +101,11 @@
     return [{ kind: "replay", answer: state.answer }];
   };
 
-  /** Decides by a claim that stands in the table. */
+  /** Decides what to do about a claim that is already stored. */
   const handleFound = (found: FoundClaim, now: number): readonly OnceAction[] => {
     const { claim } = found;
     if (claim.attempt === attempt) return send(found.revision);
-    mayStand = false;
+    mayHoldClaim = false;
     if (claim.contentHash !== contentHash) return refuse("key_reused");
     switch (claim.state.kind) {
       case "ran":
@@ -137,7 +140,7 @@
       case "claimRead":
         return event.found ? handleFound(event.found, now) : writeClaim();
       case "claimAnswerLost":
-        mayStand = true;
+        mayHoldClaim = true;
         return readClaim();
       case "readFailed":
         return readClaim();
--- a/packages/outcomes/src/types.ts
+++ b/packages/outcomes/src/types.ts
@@ -1,22 +1,22 @@
-/** What may be said of a call that was tried. */
+/** Outcomes and failures of calls to backend servers. */
 
-/** `not_run`: no attempt has reached or can still reach a backend server. */
+/** Whether a call ran. `not_run`: no attempt has reached a backend server or can still reach one. */
 export type Outcome = "ran" | "not_run" | "unknown";
 
-/** Why an exchange with a backend server ended without a whole answer. */
+/** Why a request to a backend server ended without a whole answer. */
 export type LinkFailure = Readonly<
-  /** No connection came to be, so no byte of the request left. */
+  /** No connection was established, so no byte of the request was sent. */
   | { kind: "connect_failed"; detail: string }
-  /** The server refused with a status; `ranNothing` when it says so itself. */
+  /** The server refused with an HTTP status. `ranNothing`: it states that nothing has run. */
   | { kind: "refused"; status: number; ranNothing: boolean; isLeaving: boolean }
-  /** The server does not know the generation that was to be resumed. */
+  /** The server has no generation with the id that was to be resumed. */
   | { kind: "generation_gone" }
-  /** The connection closed before the verified end. */
+  /** The connection closed before the end of the answer. */
   | { kind: "closed_early"; detail: string }
-  /** Nothing arrived for too long. */
+  /** No data arrived within the time limit. */
   | { kind: "silent" }
-  /** What arrived was not the protocol. */
+  /** The received data violates the protocol. */
   | { kind: "garbage"; detail: string }
-  /** This side closed the exchange. */
+  /** The box itself closed the request. */
   | { kind: "aborted" }
 >;
