--- a/packages/decisions/src/boxSummary.ts
+++ b/packages/decisions/src/boxSummary.ts
@@ -1,12 +1,12 @@
-/** Sums up, over all engines, how this box's streams grow and how many others there are. */
+/** Summary over all engines: expected growth of this box's streams, and the share of other boxes. */
 import type { Ms } from "@stairgauge/common";
 import type { BoxSummary, EngineView } from "./engineView.js";
 import { HORIZONS } from "./memoryForecast.js";
 
-/** Growth assumed while a box has no streams of its own to judge by. */
+/** Growth of memory at every horizon, as a factor, assumed while this box has no streams. */
 const DEFAULT_GROWTH = 1.1;
 
-/** Computes the summary. */
+/** Computes the summary. `ownTokensPerMs`: prompt tokens that this box places per millisecond. */
 export const computeBoxSummary = (
   views: Iterable<EngineView>,
   ownTokensPerMs: number,
--- a/packages/decisions/src/choosePlace.ts
+++ b/packages/decisions/src/choosePlace.ts
@@ -9,7 +9,10 @@
 import type { Forecast } from "./memoryForecast.js";
 import type { Candidate, PlacementReason, WaitingReason } from "./types.js";
 
-/** The engine chosen, or why none was. */
+/**
+ * The chosen engine, or why there is none: `none_free` if no engine that was looked at has the
+ * capacity now, `none_left` if no engine can take new work.
+ */
 export type Choice = Readonly<
   | {
       kind: "chosen";
@@ -21,7 +24,7 @@
   | { kind: "none_left" }
 >;
 
-/** Draws of a whole sample before all engines are looked at. */
+/** Max samples drawn before all engines are looked at. */
 const MAX_DRAWS = 3;
 
 const sampleViews = (
@@ -35,36 +38,39 @@
   return [...picked];
 };
 
-/** Leaves out engines that failed lately, unless that would leave out too many. */
+/** Leaves out engines that failed recently, unless that exceeds `MAX_EJECTED_SHARE`. */
 const dropEjected = (views: readonly EngineView[], now: Ms): readonly EngineView[] => {
   const kept = views.filter((view) => !view.isEjected(now));
   return kept.length >= views.length * (1 - MAX_EJECTED_SHARE) ? kept : views;
 };
 
-/** Engines to look at: all of a few, or a sample of many; none that leaves. */
+/** Selects the engines to look at, without leaving ones: all if there are few, else a random sample. */
 const pickViews = (
   views: readonly EngineView[],
   random: Random,
   now: Ms,
 ): readonly EngineView[] => {
-  const drop = (some: readonly EngineView[]) =>
+  const dropUnusable = (some: readonly EngineView[]) =>
     dropEjected(
       some.filter((view) => !view.isLeaving(now)),
       now,
     );
-  if (views.length <= PLACEMENT_SAMPLE) return drop(views);
+  if (views.length <= PLACEMENT_SAMPLE) return dropUnusable(views);
   for (let draw = 0; draw < MAX_DRAWS; draw += 1) {
-    const sampled = drop(sampleViews(views, random));
+    const sampled = dropUnusable(sampleViews(views, random));
     if (sampled.length > 0) return sampled;
   }
-  return drop(views).slice(0, PLACEMENT_SAMPLE);
+  return dropUnusable(views).slice(0, PLACEMENT_SAMPLE);
 };
 
-/** Chooses among the engines that serve the request's model: of those with room, the least busy. */
+/** Chooses the least busy engine that has a free slot and enough free memory for the request. */
 export const choosePlace = (options: {
+  /** Engines that serve the request's model. */
   readonly views: readonly EngineView[];
+  /** Memory forecast of the request. */
   readonly candidate: Forecast;
   readonly summary: BoxSummary;
+  /** Memory to keep free, in standard deviations of the forecast. */
   readonly caution: number;
   readonly random: Random;
   readonly now: Ms;
@@ -73,24 +79,24 @@
   const selected = pickViews(options.views, random, now);
   if (selected.length === 0) return { kind: "none_left" };
   const tokensPerStream = PREFILL_TOKENS_PER_STREAM;
-  const looked = selected.map((view) => ({
+  const candidates = selected.map((view) => ({
     view,
     hasSlot: view.hasSlot(now),
-    freeTokens: view.computeRoom({ candidate, summary, caution, now }),
+    freeTokens: view.computeFreeTokens({ candidate, summary, caution, now }),
     busyness: view.computeBusyness({ summary, tokensPerStream, now }),
-    /** Breaks ties apart on each box. */
-    lot: random.nextFloat(),
+    /** Breaks ties between equally busy engines at random, so that boxes choose differently. */
+    tieBreaker: random.nextFloat(),
   }));
-  const considered = looked.map(({ view, freeTokens, busyness }) => ({
+  const considered = candidates.map(({ view, freeTokens, busyness }) => ({
     server: view.server.name as Candidate["server"],
     freeTokens,
     busyness: Number(busyness.toFixed(2)),
   }));
-  const [best] = looked
+  const [best] = candidates
     .filter((one) => one.hasSlot && one.freeTokens >= 0)
-    .sort((a, b) => a.busyness - b.busyness || a.lot - b.lot);
+    .sort((a, b) => a.busyness - b.busyness || a.tieBreaker - b.tieBreaker);
   if (!best) {
-    const reason = looked.some((one) => one.hasSlot) ? "no_memory" : "no_slot";
+    const reason = candidates.some((one) => one.hasSlot) ? "no_memory" : "no_slot";
     return { kind: "none_free", reason, considered };
   }
   const reason = selected.length === 1 ? "only_one" : "least_busy";
--- a/packages/decisions/src/decisionCore.test.ts
+++ b/packages/decisions/src/decisionCore.test.ts
@@ -1,4 +1,4 @@
-/** The decision core under random events: limits hold, and every request ends in exactly one way. */
+/** Tests of the decision core, with random events and with fixed examples. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { checkBundle, hashKey, indexBundle, type Bundle } from "@stairgauge/bundle";
@@ -52,7 +52,7 @@
   return core;
 };
 
-const makeArrival = (
+const buildArrival = (
   id: string,
   workspace = "a",
   promptTokens = 100,
@@ -69,7 +69,7 @@
   },
 });
 
-const makeEnd = (id: string): DecisionEvent => ({
+const buildEnd = (id: string): DecisionEvent => ({
   kind: "ended",
   request: id as RequestId,
   generatedTokens: 10,
@@ -99,7 +99,7 @@
 );
 
 describe("createDecisionCore", () => {
-  it("keeps every limit and ends every request in exactly one way", () => {
+  it("keeps all limits, and places, queues or refuses each request, under random events", () => {
     const run = fc.property(fc.array(COMMAND, { maxLength: 80 }), (commands) => {
       const core = createCore();
       const placed = new Map<string, string>();
@@ -141,7 +141,7 @@
         if (command.kind === "arrive") {
           const id = `r${count++}`;
           workspaces.set(id, command.workspace);
-          apply(makeArrival(id, command.workspace, command.promptTokens, now));
+          apply(buildArrival(id, command.workspace, command.promptTokens, now));
           expect(
             Number(placed.has(id)) + Number(waiting.has(id)) + Number(refused.has(id)),
           ).toBe(1);
@@ -149,7 +149,7 @@
         if (command.kind === "end" && running.length > 0) {
           const id = running[command.which % running.length]!;
           placed.delete(id);
-          apply(makeEnd(id));
+          apply(buildEnd(id));
         }
         if (command.kind === "fail" && running.length > 0) {
           const id = running[command.which % running.length]!;
@@ -176,36 +176,36 @@
     fc.assert(run, { seed: 11, numRuns: 400 });
   });
 
-  it("serves the better tier first, and workspaces of one tier in turn", () => {
+  it("places requests of the better tier first, and workspaces of one tier in turn", () => {
     const core = createCore({ engines: 1, maxRunning: 1 });
-    core.handle(makeArrival("first", "a"), 0 as Ms);
-    for (const id of ["a1", "a2", "a3"]) core.handle(makeArrival(id, "a"), 0 as Ms);
-    core.handle(makeArrival("c1", "c"), 0 as Ms);
-    core.handle(makeArrival("b1", "b"), 0 as Ms);
+    core.handle(buildArrival("first", "a"), 0 as Ms);
+    for (const id of ["a1", "a2", "a3"]) core.handle(buildArrival(id, "a"), 0 as Ms);
+    core.handle(buildArrival("c1", "c"), 0 as Ms);
+    core.handle(buildArrival("b1", "b"), 0 as Ms);
     const order: string[] = [];
-    for (let last = "first"; last !== "";) {
-      const [next] = findPlaced(core.handle(makeEnd(last), 0 as Ms));
-      last = next?.request ?? "";
+    for (let running = "first"; running !== "";) {
+      const [next] = findPlaced(core.handle(buildEnd(running), 0 as Ms));
+      running = next?.request ?? "";
       if (next) order.push(next.request);
     }
     expect(order).toEqual(["a1", "b1", "a2", "a3", "c1"]);
   });
 
-  it("refuses at once what no engine's memory can hold, and what finds its queue full", () => {
+  it("refuses a request at once if it exceeds every engine's memory or its queue is full", () => {
     const core = createCore({ engines: 1, maxRunning: 1 });
-    expect(core.handle(makeArrival("big", "a", 9_000), 0 as Ms)).toMatchObject([
+    expect(core.handle(buildArrival("big", "a", 9_000), 0 as Ms)).toMatchObject([
       { kind: "refused", reason: "too_large_for_memory" },
     ]);
     const decisions = Array.from({ length: 12 }, (_, i) =>
-      core.handle(makeArrival(`r${i}`), 0 as Ms),
+      core.handle(buildArrival(`r${i}`), 0 as Ms),
     ).flat();
     expect(decisions.at(-1)).toMatchObject({ kind: "refused", reason: "queue_full" });
   });
 
-  it("refuses what waited past its tier's deadline, with a time to come back", () => {
+  it("refuses a request that has waited for its tier's deadline, and gives a retry time", () => {
     const core = createCore({ engines: 1, maxRunning: 1 });
-    core.handle(makeArrival("first"), 0 as Ms);
-    core.handle(makeArrival("late"), 0 as Ms);
+    core.handle(buildArrival("first"), 0 as Ms);
+    core.handle(buildArrival("late"), 0 as Ms);
     expect(core.handle({ kind: "ticked" }, (DEADLINE_MS - 1) as Ms)).toEqual([]);
     const [decision] = core.handle({ kind: "ticked" }, DEADLINE_MS as Ms);
     expect(decision).toMatchObject({ kind: "refused", reason: "deadline_unreachable" });
--- a/packages/decisions/src/decisionCore.ts
+++ b/packages/decisions/src/decisionCore.ts
@@ -1,4 +1,4 @@
-/** The decision core: events and a time in, decisions out. No clock, network or randomness of its own. */
+/** Places, queues and refuses requests. Pure: time and randomness are passed in, and there is no I/O. */
 import type { BundleIndex, Tier, Workspace } from "@stairgauge/bundle";
 import {
   assertNever,
@@ -24,27 +24,33 @@
   WaitingReason,
 } from "./types.js";
 
+/** Engines that serve one model, and the memory of the largest of them in tokens. */
 type ModelEngines = Readonly<{ views: readonly EngineView[]; largestMemory: number }>;
 
+/** Workspace and tier in force when the request arrived; later bundles do not change them. */
 type Rules = Readonly<{ workspace: Workspace; tier: Tier }>;
 
+/** A request that is queued or placed. */
 type Entry = {
   readonly request: GenerationRequest;
   readonly rules: Rules;
   readonly stream: ForecastStream;
   readonly forecast: Forecast;
+  /** Where the request is placed; undefined while it waits. */
   server: BackendServerName | undefined;
 };
 
-/** A decision core. */
+/** Decides about all requests of one box. */
 export type DecisionCore = Readonly<{
+  /** Applies an event at a time of the monotonic clock and returns the decisions that follow. */
   handle: (event: DecisionEvent, now: Ms) => readonly Decision[];
+  /** Number of queued requests. */
   countWaiting: () => number;
 }>;
 
 const NO_DECISIONS: readonly Decision[] = [];
 
-/** Creates a core that knows no bundle yet. */
+/** Creates a core without a bundle; until it adopts one, it refuses every request. */
 export const createDecisionCore = (options: {
   readonly random: Random;
 }): DecisionCore => {
@@ -52,10 +58,9 @@
   const queue = createAdmissionQueue();
   const entries = new Map<RequestId, Entry>();
   const placedByWorkspace = new Map<string, number>();
-  /** Marks of the list outlive a change of bundle. */
+  /** Servers that the platform's list marks as leaving. Kept when another bundle is adopted. */
   const listedLeaving = new Set<string>();
   let views: ReadonlyMap<string, EngineView> = new Map();
-  /** For each model the views of its engines, and the memory of the largest. */
   let byModel: ReadonlyMap<string, ModelEngines> = new Map();
   const estimator = createLengthEstimator();
   const rate = createPlacementRate();
@@ -69,10 +74,10 @@
     const engines = adopted.active.bundle.backendServers.filter(
       (one) => one.kind === "engine",
     );
-    const kept = views;
+    const previous = views;
     views = new Map(
       engines.map((server) => {
-        const old = kept.get(server.name);
+        const old = previous.get(server.name);
         const isSame = old && JSON.stringify(old.server) === JSON.stringify(server);
         return [server.name, isSame ? old : createEngineView(server)];
       }),
@@ -210,13 +215,13 @@
     }
   };
 
-  /** Places what now fits, a request of each workspace in turn, until nothing more does. */
+  /** Places waiting requests, one of each workspace in turn, until no more fit. */
   const drain = (now: Ms): readonly Decision[] => {
     if (queue.getSize() === 0) return NO_DECISIONS;
     const decisions: Decision[] = [];
     const fullModels = new Set<string>();
-    for (let hasMoved = true; hasMoved;) {
-      hasMoved = false;
+    for (let hasPlaced = true; hasPlaced;) {
+      hasPlaced = false;
       for (const { rank, request } of queue.listHeads()) {
         const entry = entries.get(request.id);
         if (!entry || fullModels.has(request.model) || isAtLimit(entry)) continue;
@@ -227,7 +232,7 @@
         }
         queue.remove(rank, request);
         decisions.push(place(entry, choice, now));
-        hasMoved = true;
+        hasPlaced = true;
       }
     }
     return decisions;
--- a/packages/decisions/src/engineView.ts
+++ b/packages/decisions/src/engineView.ts
@@ -1,9 +1,12 @@
-/** What this box believes of one engine: the bundle's facts, a late report, and its own streams. */
+/**
+ * One engine as this box sees it, from the engine's bundle entry, its last load report, and the streams
+ * that this box has placed on it.
+ */
 import type { EngineServer } from "@stairgauge/bundle";
 import type { Ms, RequestId } from "@stairgauge/common";
 import {
   LEAVING_REFUSAL_MS,
-  PREFILL_MEMORY_MS,
+  PREFILL_DECAY_MS,
   REPORT_LAG_MS,
   REPORT_STALE_MS,
 } from "./constants.js";
@@ -17,54 +20,59 @@
 } from "./memoryForecast.js";
 import type { ReportedLoad } from "./types.js";
 
+/** A stream that this box has placed on the engine. */
 type OwnStream = Readonly<{ stream: ForecastStream; forecast: Forecast }>;
 
 type Report = Readonly<{
   load: ReportedLoad;
+  /** When the report arrived. */
   at: Ms;
-  /** Memory and streams of this box's own when the report came. */
+  /** Memory of this box's own streams when the report arrived, tokens. */
   ownTokens: number;
+  /** Number of this box's own streams when the report arrived. */
   ownStreams: number;
 }>;
 
-/** How own streams are expected to grow, and how many others there are for each: over all engines. */
+/** Over all engines: expected growth of this box's streams, and how many streams other boxes have. */
 export type BoxSummary = Readonly<{
-  /** Own memory at each horizon, over own memory now. */
+  /** Expected memory of this box's streams at each horizon, divided by their memory now. */
   growth: Float64Array;
-  /** Variance at each horizon, over own memory now. */
+  /** Variance of that memory at each horizon, divided by the memory now. */
   spread: Float64Array;
-  /** Streams of other boxes for each own one. */
+  /** Streams of other boxes per stream of this box. */
   othersPerOwn: number;
-  /** Tokens of prompts that other boxes are held to place on each engine, a millisecond. */
+  /** Estimate of the prompt tokens that other boxes place on each engine per millisecond. */
   othersTokensPerMs: number;
 }>;
 
-/** The view of one engine. */
+/** One engine as this box sees it. */
 export type EngineView = ReturnType<typeof createEngineView>;
 
-/** Creates the view of an engine of which nothing has been heard. */
+/** Creates the view of an engine that has sent no report and has no streams of this box. */
 export const createEngineView = (server: EngineServer) => {
+  /** Streams that this box has placed on the engine. */
   const own = new Map<RequestId, OwnStream>();
+  /** Sum of the forecasts of `own`. */
   const sum = createForecast();
   let report: Report | undefined;
-  /** Marks by source: one source's silence does not take back another's mark. */
+  /** Each source has its own leaving flag, so that a source without one does not clear another's. */
   let isListedLeaving = false;
   let isReportedLeaving = false;
   let refusedLeavingAt = Number.NEGATIVE_INFINITY;
   let ejectedUntil = 0;
-  /** Prompt tokens sent lately, decayed: what the engine may still have to compute. */
+  /** Prompt tokens that the engine still had to compute at `prefillAt`, estimated. */
   let prefillTokens = 0;
   let prefillAt = 0;
 
   const computePrefill = (now: Ms): number => {
-    const left = Math.max(0, 1 - (now - prefillAt) / PREFILL_MEMORY_MS);
-    return prefillTokens * left;
+    const shareLeft = Math.max(0, 1 - (now - prefillAt) / PREFILL_DECAY_MS);
+    return prefillTokens * shareLeft;
   };
   const remove = (id: RequestId) => {
-    const known = own.get(id);
-    if (!known) return;
+    const removed = own.get(id);
+    if (!removed) return;
     own.delete(id);
-    addForecast(sum, known.forecast, -1);
+    addForecast(sum, removed.forecast, -1);
   };
   const put = (id: RequestId, stream: ForecastStream) => {
     remove(id);
@@ -72,6 +80,7 @@
     own.set(id, { stream, forecast });
     addForecast(sum, forecast, 1);
   };
+  /** Memory and streams of other boxes by the last report, and the report's age; 0 if it is too old. */
   const getOthers = (now: Ms) => {
     if (!report || now - report.at > REPORT_STALE_MS)
       return { tokens: 0, streams: 0, age: 0 };
@@ -86,15 +95,15 @@
   return {
     server,
     remove,
-    /** Counts a stream that is placed now; its prompt has still to be computed. */
+    /** Adds a stream that is placed now; the engine still has to compute its prompt. */
     place: (id: RequestId, stream: ForecastStream, now: Ms) => {
       prefillTokens = computePrefill(now) + stream.promptTokens;
       prefillAt = now;
       put(id, stream);
     },
     recordProgress: (id: RequestId, generatedTokens: number) => {
-      const known = own.get(id);
-      if (known) put(id, { ...known.stream, generatedTokens });
+      const existing = own.get(id);
+      if (existing) put(id, { ...existing.stream, generatedTokens });
     },
     countOwn: () => own.size,
     getOwnForecast: (): Forecast => sum,
@@ -106,7 +115,7 @@
     setListedLeaving: (value: boolean) => {
       isListedLeaving = value;
     },
-    /** The engine itself refused new work because it leaves. */
+    /** Records that the engine refused a request because it is leaving. */
     recordLeavingRefusal: (now: Ms) => {
       refusedLeavingAt = now;
     },
@@ -117,10 +126,10 @@
     },
     isEjected: (now: Ms) => now < ejectedUntil,
     /**
-     * Room that is left, in tokens, at the horizon where it is least, after one more stream; with
-     * `caution` standard deviations kept free. Negative where it does not fit.
+     * Forecasts the free memory with one more stream, in tokens, at the horizon where it is lowest.
+     * `caution` is the memory to keep free, in standard deviations. Negative if the stream does not fit.
      */
-    computeRoom: (options: {
+    computeFreeTokens: (options: {
       readonly candidate: Forecast;
       readonly summary: BoxSummary;
       readonly caution: number;
@@ -128,20 +137,23 @@
     }): number => {
       const { candidate, summary, caution } = options;
       const others = getOthers(options.now);
-      const unseen = summary.othersTokensPerMs * others.age;
-      const othersTokens = others.tokens + unseen;
-      let room = Number.POSITIVE_INFINITY;
+      const unreported = summary.othersTokensPerMs * others.age;
+      const othersTokens = others.tokens + unreported;
+      let freeTokens = Number.POSITIVE_INFINITY;
       for (let h = 0; h < HORIZONS.length; h += 1) {
         const mean =
           sum.mean[h]! + candidate.mean[h]! + othersTokens * summary.growth[h]!;
         const variance =
           sum.variance[h]! + candidate.variance[h]! + othersTokens * summary.spread[h]!;
-        room = Math.min(room, server.memoryTokens - mean - caution * Math.sqrt(variance));
+        freeTokens = Math.min(
+          freeTokens,
+          server.memoryTokens - mean - caution * Math.sqrt(variance),
+        );
       }
-      return Math.floor(room);
+      return Math.floor(freeTokens);
     },
     hasSlot: (now: Ms): boolean => own.size + getOthers(now).streams < server.maxRunning,
-    /** How busy the engine is, in streams; prompts to be computed count as streams as well. */
+    /** Estimates the engine's load in streams; `tokensPerStream` prompt tokens count as one stream. */
     computeBusyness: (options: {
       readonly summary: BoxSummary;
       readonly tokensPerStream: number;
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions: which engine takes a request, when one waits, which is refused. Pure. */
+/** Decides which server gets a request, and which requests wait or are refused. No I/O. */
 export type {
   Candidate,
   Decision,
--- a/packages/decisions/src/lengthEstimator.ts
+++ b/packages/decisions/src/lengthEstimator.ts
@@ -1,8 +1,10 @@
 /**
- * How long answers get: for each workspace, model and class of prompt a decayed survival curve over
- * logarithmic steps of length, shrunk towards the model's own where samples are few.
+ * Estimates the length of answers. Each workspace, model and prompt class has a survival curve over
+ * logarithmic steps of length, in which older samples weigh less. With few samples the curve is close
+ * to that of the model.
  *
- * Bounded: only the curves used last are kept (`MAX_CURVES`), so memory does not grow with workspaces.
+ * Memory is bounded by the number of models and by `MAX_CURVES` for workspaces: the least recently
+ * used curves are evicted.
  */
 import {
   CURVE_DECAY,
@@ -13,7 +15,7 @@
   SHRINK_SAMPLES,
 } from "./constants.js";
 
-/** Steps of length: each is the square root of two times the one before. */
+/** Number of steps of length. Each ends at √2 times the end of the one before. */
 const STEPS = 34;
 const STEPS_PER_DOUBLING = 2;
 
@@ -26,25 +28,28 @@
     Math.max(0, Math.ceil(STEPS_PER_DOUBLING * Math.log2(Math.max(1, length)))),
   );
 
-/** What a request's length is judged by. */
+/** What the estimate of an answer's length depends on. */
 export type LengthKey = Readonly<{
   workspace: string;
   model: string;
   promptTokens: number;
 }>;
 
-/** A curve: `survival[k]` is the chance that an answer is longer than step k's end. */
+/** `survival[k]` is the probability that an answer is longer than the end of step k. */
 export type SurvivalCurve = Readonly<{ survival: Float64Array }>;
 
+/** Weighted numbers of answers, by step of length and in total. */
 type Counts = { readonly byStep: Float64Array; total: number };
 
-/** Learns lengths and tells what remains of an answer. */
+/** Estimates the length of answers from the lengths of earlier ones. */
 export type LengthEstimator = Readonly<{
+  /** Records the length of a whole answer, in tokens. */
   observe: (key: LengthKey, length: number) => void;
-  /** The curve now; take it anew for each stream, it does not change afterwards. */
+  /** The present curve. Later samples do not change it, so get a new one for each stream. */
   getCurve: (key: LengthKey) => SurvivalCurve;
 }>;
 
+/** Upper limits of the prompt classes, tokens; longer prompts form the last class. */
 const PROMPT_CLASS_LIMITS = [512, 1_024, 2_048, 4_096] as const;
 
 const toPromptClass = (promptTokens: number): number =>
@@ -58,7 +63,7 @@
   counts.byStep[step]! += 1;
 };
 
-/** A log-normal guess for models of which nothing is known, as counts. */
+/** Counts of a log-normal distribution, for models without samples. */
 const createPrior = (): Counts => {
   const prior = createCounts();
   for (let k = 0; k < STEPS; k += 1) {
@@ -71,7 +76,7 @@
 
 const PRIOR = createPrior();
 
-/** Mixes counts with a base that weighs as much as `weight` samples. */
+/** Adds a base distribution with the weight of `weight` samples to the counts. */
 const combineCounts = (
   counts: Counts | undefined,
   base: Counts,
@@ -95,32 +100,32 @@
   return { survival };
 };
 
-/** The chance that an answer is longer than `length` tokens. */
+/** The probability that an answer is longer than `length` tokens. */
 export const computeSurvival = ({ survival }: SurvivalCurve, length: number): number => {
   if (length < 1) return 1;
-  const place = STEPS_PER_DOUBLING * Math.log2(length);
-  const low = Math.floor(place);
+  const position = STEPS_PER_DOUBLING * Math.log2(length);
+  const low = Math.floor(position);
   if (low >= STEPS - 1) return 0;
-  const share = place - low;
+  const share = position - low;
   return survival[low]! * (1 - share) + survival[low + 1]! * share;
 };
 
-/** Creates an estimator that has seen nothing. */
+/** Creates an estimator without samples. */
 export const createLengthEstimator = (): LengthEstimator => {
-  /** Least recently used first. */
-  const own = new Map<string, Counts>();
+  /** Counts by workspace, model and prompt class; least recently used first. */
+  const byWorkspace = new Map<string, Counts>();
   const byModel = new Map<string, Counts>();
 
   const toModelKey = ({ model, promptTokens }: LengthKey) =>
     `${model}/${toPromptClass(promptTokens)}`;
-  const toOwnKey = (key: LengthKey) => `${key.workspace}/${toModelKey(key)}`;
+  const toWorkspaceKey = (key: LengthKey) => `${key.workspace}/${toModelKey(key)}`;
 
   const touch = (key: string, counts: Counts) => {
-    own.delete(key);
-    own.set(key, counts);
-    if (own.size <= MAX_CURVES) return;
-    const [oldest] = own.keys();
-    if (oldest !== undefined) own.delete(oldest);
+    byWorkspace.delete(key);
+    byWorkspace.set(key, counts);
+    if (byWorkspace.size <= MAX_CURVES) return;
+    const [oldest] = byWorkspace.keys();
+    if (oldest !== undefined) byWorkspace.delete(oldest);
   };
 
   return {
@@ -130,14 +135,16 @@
       const model = byModel.get(modelKey) ?? createCounts();
       byModel.set(modelKey, model);
       addTo(model, step);
-      const ownKey = toOwnKey(key);
-      const counts = own.get(ownKey) ?? createCounts();
+      const workspaceKey = toWorkspaceKey(key);
+      const counts = byWorkspace.get(workspaceKey) ?? createCounts();
       addTo(counts, step);
-      touch(ownKey, counts);
+      touch(workspaceKey, counts);
     },
     getCurve: (key) => {
       const model = combineCounts(byModel.get(toModelKey(key)), PRIOR, PRIOR_SAMPLES);
-      return toCurve(combineCounts(own.get(toOwnKey(key)), model, SHRINK_SAMPLES));
+      return toCurve(
+        combineCounts(byWorkspace.get(toWorkspaceKey(key)), model, SHRINK_SAMPLES),
+      );
     },
   };
 };
--- a/packages/decisions/src/memoryForecast.ts
+++ b/packages/decisions/src/memoryForecast.ts
@@ -1,30 +1,31 @@
 /**
- * What a stream will hold of an engine's memory: the mean and the variance at some horizons, counted in
- * decoding steps, in each of which a stream that still runs gains one token.
+ * Forecasts the memory that streams use on an engine: mean and variance at several horizons. A horizon
+ * is a number of decoding steps; in each step a running stream grows by one token.
  */
 import { computeSurvival, type SurvivalCurve } from "./lengthEstimator.js";
 
-/** Steps ahead at which memory is looked at. */
+/** Horizons of the forecast, decoding steps from now. */
 export const HORIZONS = [0, 16, 64, 160, 400, 1_000, 2_500] as const;
 
-/** Mean and variance of held tokens at each horizon. */
+/** Mean and variance of the memory in use at each horizon, in tokens. */
 export type Forecast = Readonly<{ mean: Float64Array; variance: Float64Array }>;
 
-/** A stream as the forecast sees it. */
+/** What the forecast needs of a stream. */
 export type ForecastStream = Readonly<{
   promptTokens: number;
   generatedTokens: number;
   maxOutputTokens: number;
+  /** Distribution of the answer's length. */
   curve: SurvivalCurve;
 }>;
 
-/** Creates a forecast of nothing. */
+/** Creates a forecast of zero. */
 export const createForecast = (): Forecast => ({
   mean: new Float64Array(HORIZONS.length),
   variance: new Float64Array(HORIZONS.length),
 });
 
-/** Forecasts one stream. */
+/** Forecasts the memory of one stream. */
 export const computeForecast = (stream: ForecastStream): Forecast => {
   const { promptTokens, generatedTokens, maxOutputTokens, curve } = stream;
   const forecast = createForecast();
@@ -32,16 +33,16 @@
   HORIZONS.forEach((steps, h) => {
     const length = generatedTokens + steps;
     const isPossible = length <= maxOutputTokens;
-    const survives = computeSurvival(curve, length) / survivedSoFar;
-    const chance = steps === 0 ? 1 : isPossible ? Math.min(1, survives) : 0;
-    const held = promptTokens + length;
-    forecast.mean[h] = chance * held;
-    forecast.variance[h] = chance * (1 - chance) * held * held;
+    const survival = computeSurvival(curve, length) / survivedSoFar;
+    const probability = steps === 0 ? 1 : isPossible ? Math.min(1, survival) : 0;
+    const tokens = promptTokens + length;
+    forecast.mean[h] = probability * tokens;
+    forecast.variance[h] = probability * (1 - probability) * tokens * tokens;
   });
   return forecast;
 };
 
-/** Adds (`sign` 1) or takes away (`sign` -1) one forecast to or from a sum, in place. */
+/** Adds a forecast to a sum (`sign` 1) or subtracts it (`sign` -1), in place. */
 export const addForecast = (sum: Forecast, one: Forecast, sign: 1 | -1): void => {
   for (let h = 0; h < HORIZONS.length; h += 1) {
     sum.mean[h]! += sign * one.mean[h]!;
--- a/packages/decisions/src/placementRate.ts
+++ b/packages/decisions/src/placementRate.ts
@@ -1,20 +1,22 @@
-/** How many prompt tokens this box places a millisecond, decayed. */
+/** Average rate at which this box places prompt tokens; older placements weigh less. */
 import type { Ms } from "@stairgauge/common";
-import { PLACEMENT_RATE_MEMORY_MS } from "./constants.js";
+import { PLACEMENT_RATE_TIME_CONSTANT_MS } from "./constants.js";
 
-/** The rate of this box's placements. */
+/** Rate of this box's placements. */
 export type PlacementRate = Readonly<{
+  /** Records the placement of a prompt of `tokens`. */
   record: (tokens: number, now: Ms) => void;
+  /** The rate at `now`, prompt tokens per millisecond. */
   compute: (now: Ms) => number;
 }>;
 
-/** Creates a rate of nothing. */
+/** Creates a rate of zero. */
 export const createPlacementRate = (): PlacementRate => {
   let tokens = 0;
-  let at = 0;
+  let updatedAt = 0;
   const update = (now: Ms) => {
-    tokens *= Math.exp((at - now) / PLACEMENT_RATE_MEMORY_MS);
-    at = now;
+    tokens *= Math.exp((updatedAt - now) / PLACEMENT_RATE_TIME_CONSTANT_MS);
+    updatedAt = now;
   };
   return {
     record: (placed, now) => {
@@ -23,7 +25,7 @@
     },
     compute: (now) => {
       update(now);
-      return tokens / PLACEMENT_RATE_MEMORY_MS;
+      return tokens / PLACEMENT_RATE_TIME_CONSTANT_MS;
     },
   };
 };
--- a/packages/decisions/src/serviceRouter.ts
+++ b/packages/decisions/src/serviceRouter.ts
@@ -1,25 +1,29 @@
-/** Chooses the server of a plain service: the less busy of two, failed ones passed over. Pure. */
+/**
+ * Chooses a server of a plain service: the less busy of two random ones. Servers that failed recently
+ * are left out unless no other is left. No I/O.
+ */
 import type { ServiceServer } from "@stairgauge/bundle";
 import type { Ms, Random } from "@stairgauge/common";
 import { EJECTION_MS } from "./constants.js";
 
-/** A choice among a service's servers. */
+/** The chosen server, or `none_left` if no server may be used. */
 export type ServiceChoice = Readonly<
   | {
       kind: "chosen";
       server: ServiceServer;
       reason: "only_one" | "less_busy";
+      /** Calls of this box that run on the server. */
       outstanding: number;
     }
   | { kind: "none_left" }
 >;
 
-/** Chooses servers and remembers how busy and how healthy each is. */
+/** Chooses servers by the running calls, failures and leaving flags that it has recorded. */
 export type ServiceRouter = ReturnType<typeof createServiceRouter>;
 
 type ServerState = { outstanding: number; ejectedUntil: number; isLeaving: boolean };
 
-/** Creates a router that knows nothing of any server yet. */
+/** Creates a router without any records of servers. */
 export const createServiceRouter = (random: Random) => {
   const states = new Map<string, ServerState>();
 
@@ -40,7 +44,7 @@
   };
 
   return {
-    /** Chooses among servers, without those in `tried`. */
+    /** Chooses one of `servers`, without those whose names are in `tried`. */
     choose: (
       servers: readonly ServiceServer[],
       tried: ReadonlySet<string>,
--- a/packages/decisions/src/types.ts
+++ b/packages/decisions/src/types.ts
@@ -1,4 +1,4 @@
-/** Events into the decision core and decisions out of it. */
+/** Events that the decision core handles, and the decisions that it returns. */
 import type { BundleIndex } from "@stairgauge/bundle";
 import type {
   BackendServerName,
@@ -8,32 +8,38 @@
   WorkspaceName,
 } from "@stairgauge/common";
 
-/** A request for a generation, as the decisions see it. */
+/** What the decision core needs of a request for a generation. */
 export type GenerationRequest = Readonly<{
   id: RequestId;
   workspace: WorkspaceName;
   model: ModelName;
   /** Estimated length of the prompt, tokens. */
   promptTokens: number;
-  /** Most tokens that the answer may have. */
+  /** Max length of the answer, tokens. */
   maxOutputTokens: number;
-  /** How long the caller has waited already when this is handed over. */
+  /** When the request arrived, on the monotonic clock. Its waiting time counts from here. */
   arrivedAt: Ms;
 }>;
 
-/** What the core needs of an engine's load report. */
+/** What the decision core needs of an engine's load report. */
 export type ReportedLoad = Readonly<{
+  /** Streams that run on the engine. */
   running: number;
+  /** Streams that wait on the engine. */
   waiting: number;
+  /** Memory in use, tokens. */
   usedTokens: number;
   isLeaving: boolean;
 }>;
 
-/** What the core is told. */
+/** Input of the decision core. */
 export type DecisionEvent = Readonly<
   | { kind: "bundleAdopted"; index: BundleIndex }
   | { kind: "arrived"; request: GenerationRequest }
-  /** The attempt on `server` failed; the request wants another place. */
+  /**
+   * The attempt on `server` failed, so the request needs another engine. `isLeaving`: the server
+   * refused it because it is leaving.
+   */
   | {
       kind: "attemptFailed";
       request: RequestId;
@@ -41,10 +47,12 @@
       isLeaving: boolean;
     }
   | { kind: "progressed"; request: RequestId; generatedTokens: number }
-  /** The request is over, whether answered, failed or given up by its caller. */
+  /** The request is over: answered whole (`isWhole`), failed, or cancelled by its caller. */
   | { kind: "ended"; request: RequestId; generatedTokens: number; isWhole: boolean }
   | { kind: "loadReported"; server: BackendServerName; load: ReportedLoad }
+  /** The platform's list says that the server is leaving, or no longer is. */
   | { kind: "serverMarked"; server: BackendServerName; isLeaving: boolean }
+  /** Sent at a regular interval: refuses late requests and places waiting ones. */
   | { kind: "ticked" }
 >;
 
@@ -54,36 +62,40 @@
 /** Why a request waits. */
 export type WaitingReason = "no_memory" | "no_slot" | "workspace_limit" | "behind_others";
 
-/** Why a request was refused. Nothing of it has run. */
+/** Why a request was refused. The refused attempt has not run; earlier attempts may have. */
 export type RefusalReason =
   "no_backend_server" | "queue_full" | "deadline_unreachable" | "too_large_for_memory";
 
-/** An engine that was looked at. */
+/** An engine that was compared for a placement. */
 export type Candidate = Readonly<{
   server: BackendServerName;
-  /** Room that the forecast leaves after this request; negative where it does not fit. */
+  /** Free memory forecast after this request is placed; negative if the request does not fit. */
   freeTokens: number;
-  /** How busy the engine is held to be, in streams. */
+  /** Estimated load of the engine, in streams. */
   busyness: number;
 }>;
 
-/** What the core decided. */
+/** Output of the decision core. */
 export type Decision = Readonly<
   | {
       kind: "placed";
       request: RequestId;
       server: BackendServerName;
+      /** Rank of the request's tier; 0 is served first. */
       priority: number;
       reason: PlacementReason;
       considered: readonly Candidate[];
+      /** Time from the request's arrival to this placement. */
       waited: Ms;
     }
   | {
       kind: "waiting";
       request: RequestId;
       reason: WaitingReason;
+      /** Number of requests that were queued before this one. */
       ahead: number;
       considered: readonly Candidate[];
     }
+  /** `retryAfter`: time after which the caller is asked to retry. */
   | { kind: "refused"; request: RequestId; reason: RefusalReason; retryAfter: Ms }
 >;
