--- a/packages/decisions/src/boxSummary.ts
+++ b/packages/decisions/src/boxSummary.ts
@@ -27,10 +27,10 @@
       spread[h]! += variance[h]!;
     }
   }
-  const held = growth[0]!;
+  const tokensNow = growth[0]!;
   for (let h = 0; h < HORIZONS.length; h += 1) {
-    growth[h] = held > 0 ? growth[h]! / held : DEFAULT_GROWTH;
-    spread[h] = held > 0 ? spread[h]! / held : 0;
+    growth[h] = tokensNow > 0 ? growth[h]! / tokensNow : DEFAULT_GROWTH;
+    spread[h] = tokensNow > 0 ? spread[h]! / tokensNow : 0;
   }
   const othersPerOwn = ownStreams > 0 ? otherStreams / ownStreams : 0;
   const othersTokensPerMs = engines > 0 ? (ownTokensPerMs * othersPerOwn) / engines : 0;
