--- a/packages/relay/src/dispatcher.ts
+++ b/packages/relay/src/dispatcher.ts
@@ -1,4 +1,4 @@
-/** Shell of the decision core: feeds it events, applies and logs its decisions. */
+/** Passes events to the decision core, and logs and applies its decisions. */
 import type { BundleIndex } from "@stairgauge/bundle";
 import {
   assertNever,
@@ -17,24 +17,27 @@
 import type { Logger, Metrics } from "@stairgauge/telemetry";
 import type { PlacementRefusal } from "./types.js";
 
-/** Receives what was decided of one request. */
+/** Receives the decisions about one request. */
 export type PlacementHandlers = Readonly<{
   onPlaced: (server: BackendServerName, priority: number) => void;
   onRefused: (refusal: PlacementRefusal) => void;
 }>;
 
-/** Decides for every request of the box. */
+/** Places, queues or refuses all generation requests of the box. */
 export type Dispatcher = Readonly<{
+  /** Submits a new request. The handlers may be called before this returns. */
   submit: (request: GenerationRequest, handlers: PlacementHandlers) => void;
-  /** Tells the core of a load report, a mark, progress or a failed attempt. */
-  tell: (event: Exclude<DecisionEvent, { kind: "arrived" | "ended" }>) => void;
+  /** Passes any other event to the decision core, such as a load report or a failed attempt. */
+  handle: (event: Exclude<DecisionEvent, { kind: "arrived" | "ended" }>) => void;
+  /** Ends a request: answered whole (`isWhole`), failed, or cancelled by its caller. */
   end: (request: RequestId, generatedTokens: number, isWhole: boolean) => void;
+  /** Applies a new bundle. */
   adopt: (index: BundleIndex) => void;
-  /** Refuses all that still waits: the box is stopping. */
+  /** Refuses all waiting requests, because the box is stopping. */
   refuseWaiting: () => void;
 }>;
 
-type Waiting = { readonly handlers: PlacementHandlers; isPlaced: boolean };
+type OpenRequest = { readonly handlers: PlacementHandlers; isPlaced: boolean };
 
 /** Creates the dispatcher of a box. */
 export const createDispatcher = (deps: {
@@ -45,7 +48,7 @@
 }): Dispatcher => {
   const { clock, logger, metrics } = deps;
   const core = createDecisionCore({ random: deps.random });
-  const requests = new Map<RequestId, Waiting>();
+  const requests = new Map<RequestId, OpenRequest>();
 
   const record = (decision: Decision) => {
     const { kind, ...rest } = decision;
@@ -55,29 +58,29 @@
 
   const apply = (decision: Decision) => {
     record(decision);
-    const waiting = requests.get(decision.request);
-    if (!waiting) return;
+    const request = requests.get(decision.request);
+    if (!request) return;
     switch (decision.kind) {
       case "placed":
-        waiting.isPlaced = true;
-        waiting.handlers.onPlaced(decision.server, decision.priority);
+        request.isPlaced = true;
+        request.handlers.onPlaced(decision.server, decision.priority);
         return;
       case "refused":
         requests.delete(decision.request);
-        waiting.handlers.onRefused({
+        request.handlers.onRefused({
           reason: decision.reason,
           retryAfter: decision.retryAfter,
         });
         return;
       case "waiting":
-        waiting.isPlaced = false;
+        request.isPlaced = false;
         return;
       default:
         assertNever(decision);
     }
   };
 
-  const tell = (event: DecisionEvent) => {
+  const handle = (event: DecisionEvent) => {
     const decisions = core.handle(event, clock.monotonic());
     metrics.waiting.set(core.countWaiting());
     for (const decision of decisions) apply(decision);
@@ -85,17 +88,17 @@
 
   const end = (request: RequestId, generatedTokens: number, isWhole: boolean) => {
     requests.delete(request);
-    tell({ kind: "ended", request, generatedTokens, isWhole });
+    handle({ kind: "ended", request, generatedTokens, isWhole });
   };
 
   return {
     submit: (request, handlers) => {
       requests.set(request.id, { handlers, isPlaced: false });
-      tell({ kind: "arrived", request });
+      handle({ kind: "arrived", request });
     },
-    tell,
+    handle,
     end,
-    adopt: (index) => tell({ kind: "bundleAdopted", index }),
+    adopt: (index) => handle({ kind: "bundleAdopted", index }),
     refuseWaiting: () => {
       for (const [id, { handlers, isPlaced }] of [...requests]) {
         if (isPlaced) continue;
--- a/packages/relay/src/index.ts
+++ b/packages/relay/src/index.ts
@@ -1,4 +1,4 @@
-/** The relay's shell: runs generations between callers' sinks and engines. */
+/** Runs generations on engines and passes their tokens to callers. */
 export type {
   AnswerSink,
   GenerationCall,
--- a/packages/relay/src/relay.test.ts
+++ b/packages/relay/src/relay.test.ts
@@ -1,4 +1,4 @@
-/** The relay's shell on a virtual clock, before an engine that does what the test says. */
+/** Tests of the relay with a virtual clock and a fake engine. */
 import { describe, expect, it } from "vitest";
 import { indexBundle } from "@stairgauge/bundle";
 import {
@@ -18,7 +18,7 @@
 
 const GRACE_MS = 1_000 as Ms;
 
-const createBench = (options: { readonly isRoomy?: boolean } = {}) => {
+const createFixture = (options: { readonly isRoomy?: boolean } = {}) => {
   const clock = createVirtualClock();
   const fake = createFakeEngine();
   const relay = createRelay({
@@ -36,16 +36,20 @@
   return { clock, fake, relay, index };
 };
 
-type Bench = ReturnType<typeof createBench>;
+type Fixture = ReturnType<typeof createFixture>;
 
-/** Runs one streamed generation whose caller takes tokens while `hasRoom` says so. */
-const runStream = (bench: Bench, id: string, hasRoom: () => boolean = () => true) => {
+/** Runs one streamed generation. Its caller accepts more tokens while `isWritable` returns true. */
+const runStream = (
+  fixture: Fixture,
+  id: string,
+  isWritable: () => boolean = () => true,
+) => {
   const tokens: string[] = [];
   const ends: string[] = [];
   const sink: AnswerSink = {
     onToken: (_index, text) => {
       tokens.push(text);
-      return hasRoom();
+      return isWritable();
     },
     onDiscard: () => undefined,
     onEnd: () => ends.push("whole"),
@@ -63,9 +67,9 @@
     stop: [],
     temperature: undefined,
   };
-  const handle = bench.relay.run({
+  const handle = fixture.relay.run({
     call,
-    index: bench.index,
+    index: fixture.index,
     deliversAtOnce: true,
     mayRunAgain: true,
     sink,
@@ -81,59 +85,59 @@
 };
 
 describe("createRelay", () => {
-  it("pauses the link of a caller that takes nothing, and delays nobody else", () => {
-    const bench = createBench();
-    let hasRoom = false;
-    const stalled = runStream(bench, "stalled", () => hasRoom);
-    const other = runStream(bench, "other");
-    const [stalledLink, otherLink] = bench.fake.links;
+  it("pauses the link of a caller that reads nothing, and does not delay other streams", () => {
+    const fixture = createFixture();
+    let isWritable = false;
+    const stalled = runStream(fixture, "stalled", () => isWritable);
+    const other = runStream(fixture, "other");
+    const [stalledLink, otherLink] = fixture.fake.links;
     sendTokens(stalledLink!, 0, 1);
     sendTokens(otherLink!, 0, 50);
     expect(stalledLink!.state.isPaused).toBe(true);
     expect(otherLink!.state.isPaused).toBe(false);
     expect(other.tokens).toHaveLength(50);
-    bench.clock.advance(60_000 as Ms);
+    fixture.clock.advance(60_000 as Ms);
     expect(stalledLink!.state.isClosed).toBe(false);
-    hasRoom = true;
+    isWritable = true;
     stalled.handle.setBlocked(false);
     expect(stalledLink!.state.isPaused).toBe(false);
   });
 
-  it("lets one stalled reader among 1,000 delay nobody", () => {
-    const bench = createBench({ isRoomy: true });
+  it("does not delay 999 streams when the caller of another one reads nothing", () => {
+    const fixture = createFixture({ isRoomy: true });
     const streams = Array.from({ length: 1_000 }, (_, i) =>
-      runStream(bench, `s${i}`, () => i !== 0),
+      runStream(fixture, `s${i}`, () => i !== 0),
     );
     for (let index = 0; index < 20; index += 1) {
-      for (const link of bench.fake.links)
+      for (const link of fixture.fake.links)
         if (!link.state.isPaused) sendTokens(link, index, 1);
     }
     expect(streams[0]!.tokens).toHaveLength(1);
     for (const { tokens } of streams.slice(1)) expect(tokens).toHaveLength(20);
-    expect(bench.fake.links.filter((link) => link.state.isPaused)).toHaveLength(1);
+    expect(fixture.fake.links.filter((link) => link.state.isPaused)).toHaveLength(1);
   });
 
-  it("cancels a generation only after the grace, and only while nobody reads it", () => {
-    const bench = createBench();
-    const { handle } = runStream(bench, "a");
-    const [link] = bench.fake.links;
+  it("cancels a generation without a caller after the grace period, only if it is detached", () => {
+    const fixture = createFixture();
+    const { handle } = runStream(fixture, "a");
+    const [link] = fixture.fake.links;
     sendTokens(link!, 0, 3);
     handle.leave();
-    bench.clock.advance((GRACE_MS - 1) as Ms);
-    expect(bench.fake.cancelled).toEqual([]);
-    bench.clock.advance(1 as Ms);
-    expect(bench.fake.cancelled).toEqual([
+    fixture.clock.advance((GRACE_MS - 1) as Ms);
+    expect(fixture.fake.cancelled).toEqual([]);
+    fixture.clock.advance(1 as Ms);
+    expect(fixture.fake.cancelled).toEqual([
       { generation: link!.generation, onlyIfDetached: true },
     ]);
   });
 
-  it("resumes the same generation after a broken link, from the next token", () => {
-    const bench = createBench();
-    const { tokens, ends } = runStream(bench, "a");
-    const [first] = bench.fake.links;
+  it("resumes the same generation from the next token after its link breaks", () => {
+    const fixture = createFixture();
+    const { tokens, ends } = runStream(fixture, "a");
+    const [first] = fixture.fake.links;
     sendTokens(first!, 0, 3);
     first!.handlers.onEnd({ kind: "closed_early", detail: "test" });
-    const second = bench.fake.links[1]!;
+    const second = fixture.fake.links[1]!;
     expect(second).toMatchObject({
       kind: "resume",
       from: 3,
@@ -151,41 +155,41 @@
     });
     expect(tokens).toEqual(["0", "1", "2", "3", "4"]);
     expect(ends).toEqual(["whole"]);
-    expect(bench.relay.countRuns()).toBe(0);
+    expect(fixture.relay.countRuns()).toBe(0);
   });
 
-  it("places a second attempt elsewhere when an engine that leaves refuses", () => {
-    const bench = createBench();
-    runStream(bench, "a");
-    const [first] = bench.fake.links;
+  it("places the second attempt on another engine when a leaving engine refuses the first", () => {
+    const fixture = createFixture();
+    runStream(fixture, "a");
+    const [first] = fixture.fake.links;
     first!.handlers.onEnd({
       kind: "refused",
       status: 503,
       ranNothing: true,
       isLeaving: true,
     });
-    expect(bench.fake.links[1]!.address).not.toBe(first!.address);
-    for (let i = 0; i < 10; i += 1) runStream(bench, `later-${i}`);
-    const later = bench.fake.links.slice(2);
+    expect(fixture.fake.links[1]!.address).not.toBe(first!.address);
+    for (let i = 0; i < 10; i += 1) runStream(fixture, `later-${i}`);
+    const later = fixture.fake.links.slice(2);
     expect(later.map((link) => link.address)).not.toContain(first!.address);
   });
 
-  it("does not say not run of a refusal after an attempt that may have run", () => {
-    const bench = createBench();
-    const { ends } = runStream(bench, "a");
+  it("reports the outcome unknown for a refusal after an attempt that may have run", () => {
+    const fixture = createFixture();
+    const { ends } = runStream(fixture, "a");
     for (const name of ["engine-1", "engine-2"]) {
-      bench.relay.markServer(name as BackendServerName, true);
+      fixture.relay.markServer(name as BackendServerName, true);
     }
-    bench.fake.links[0]!.handlers.onEnd({ kind: "closed_early", detail: "test" });
+    fixture.fake.links[0]!.handlers.onEnd({ kind: "closed_early", detail: "test" });
     expect(ends).toEqual(["no_backend_server unknown"]);
   });
 
-  it("refuses what waits when the box stops, and says that it did not run", () => {
-    const bench = createBench();
-    for (let i = 0; i < 64; i += 1) runStream(bench, `busy-${i}`);
-    const waiting = runStream(bench, "waiting");
+  it("refuses waiting requests with the outcome not run when the box stops", () => {
+    const fixture = createFixture();
+    for (let i = 0; i < 64; i += 1) runStream(fixture, `busy-${i}`);
+    const waiting = runStream(fixture, "waiting");
     expect(waiting.ends).toEqual([]);
-    bench.relay.refuseWaiting();
+    fixture.relay.refuseWaiting();
     expect(waiting.ends).toEqual(["leaving not_run"]);
   });
 });
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -1,4 +1,4 @@
-/** The relay of one box: all running generations, the decisions and the engines' loads. */
+/** Runs all generations of one box; places them by decisions and by the engines' load reports. */
 import type { BundleIndex } from "@stairgauge/bundle";
 import type { BackendServerName, RequestId, Timer } from "@stairgauge/common";
 import { TICK_MS } from "./constants.js";
@@ -9,16 +9,21 @@
 
 /** The relay of one box. */
 export type Relay = Readonly<{
+  /** Starts or continues a generation. The sink may be called before this returns. */
   run: (request: RunRequest) => RunHandle;
+  /** Applies a new bundle to later placements. */
   adopt: (index: BundleIndex) => void;
-  /** Takes a mark of the platform's list: the server leaves, or does no longer. */
+  /** Applies the platform's list of servers: the server is leaving, or no longer is. */
   markServer: (server: BackendServerName, isLeaving: boolean) => void;
+  /** Number of generations that are waiting or running. */
   countRuns: () => number;
+  /** Refuses all waiting generations, because the box is stopping. */
   refuseWaiting: () => void;
+  /** Stops the timers; running generations go on. */
   stop: () => void;
 }>;
 
-/** Creates the relay; it starts its timers at once. */
+/** Creates the relay and starts its timer. */
 export const createRelay = (deps: RelayDeps): Relay => {
   const { clock, metrics } = deps;
   const dispatcher = createDispatcher(deps);
@@ -29,7 +34,7 @@
 
   const findNewerAddress = (server: string) => latest?.servers.get(server)?.address;
   const tick = () => {
-    dispatcher.tell({ kind: "ticked" });
+    dispatcher.handle({ kind: "ticked" });
     for (const run of [...runs.values()]) run.tick();
     timer = clock.setTimer(TICK_MS, tick);
   };
@@ -48,7 +53,7 @@
         { ...deps, dispatcher, onOver: handleOver, findNewerAddress },
         request,
       );
-      // NOTE: a refusal at once ends the run before it is returned.
+      // NOTE: a request that is refused at once is over before runGeneration returns.
       if (!isOver) runs.set(id, run);
       metrics.openStreams.set(runs.size);
       return run;
@@ -59,7 +64,7 @@
       poller.adopt(index);
     },
     markServer: (server, isLeaving) =>
-      dispatcher.tell({ kind: "serverMarked", server, isLeaving }),
+      dispatcher.handle({ kind: "serverMarked", server, isLeaving }),
     countRuns: () => runs.size,
     refuseWaiting: dispatcher.refuseWaiting,
     stop: () => {
--- a/packages/relay/src/runGeneration.ts
+++ b/packages/relay/src/runGeneration.ts
@@ -1,4 +1,7 @@
-/** Shell of one stream's session: applies its actions to the engine's links and the caller's sink. */
+/**
+ * Runs one generation. The stream session decides what to do; this module does it with engine links and
+ * the caller's sink.
+ */
 import { assertNever, type GenerationId, type Timer } from "@stairgauge/common";
 import type { EngineLink } from "@stairgauge/engines";
 import type { LinkFailure } from "@stairgauge/outcomes";
@@ -15,16 +18,21 @@
 
 type OpenLinkAction = Extract<SessionAction, { kind: "openLink" }>;
 
-/** A run as the relay keeps it. */
-export type Run = RunHandle & Readonly<{ tick: () => void }>;
+/** A run as the relay sees it. */
+export type Run = RunHandle &
+  Readonly<{
+    /** Lets the session check its link for silence; called every `TICK_MS`. */
+    tick: () => void;
+  }>;
 
-/** Starts (or continues) a generation and relays it until its end. */
+/** Starts or continues a generation and passes its tokens to the sink until its end. */
 export const runGeneration = (
   deps: RelayDeps &
     Readonly<{
       dispatcher: Dispatcher;
+      /** Called once when the run is over; may be called before this function returns. */
       onOver: () => void;
-      /** Address of a server that only a later bundle names. */
+      /** Address of a server by the newest bundle, for servers that the request's bundle lacks. */
       findNewerAddress: (server: string) => string | undefined;
     }>,
   request: RunRequest,
@@ -40,10 +48,13 @@
   const arrivedAt = clock.monotonic();
   let link: EngineLink | undefined;
   let linkTimer: Timer | undefined;
+  /** Whether the caller's connection accepts no more data for now. */
   let isBlocked = false;
   let isOver = false;
   let priority = 0;
+  /** Time of the last token on the monotonic clock; 0 before the first. */
   let lastTokenAt = 0;
+  /** Tokens that are not yet in the metrics and in a progress event. */
   let tokensSinceProgress = 0;
 
   const getAddress = (server: string): string =>
@@ -74,18 +85,18 @@
     if (tokensSinceProgress < PROGRESS_EVERY_TOKENS) return;
     recordTokenCount();
     const generatedTokens = session.getNextIndex();
-    dispatcher.tell({ kind: "progressed", request: call.id, generatedTokens });
+    dispatcher.handle({ kind: "progressed", request: call.id, generatedTokens });
   };
 
   const openLink = (action: OpenLinkAction) => {
-    const { link: own, mode, server, generation } = action;
+    const { link: linkNumber, mode, server, generation } = action;
     const address = getAddress(server);
     const handlers = {
       onFrame: (frame: Extract<SessionEvent, { kind: "frame" }>["frame"]) =>
-        send({ kind: "frame", link: own, frame }),
+        send({ kind: "frame", link: linkNumber, frame }),
       onEnd: (failure: LinkFailure | undefined) => {
         if (failure) metrics.linkFailures.inc({ kind: failure.kind });
-        send({ kind: "linkEnded", link: own, failure });
+        send({ kind: "linkEnded", link: linkNumber, failure });
       },
     };
     link =
@@ -113,14 +124,14 @@
   const scheduleLink = (action: OpenLinkAction) => {
     if (action.mode.kind === "resume") {
       const { server, generation, mode } = action;
-      const line = {
+      const fields = {
         decision: "resumed",
         request: call.id,
         server,
         generation,
         from: mode.from,
       };
-      logger.info({ ...line, delay: action.delay }, "decision: resumed");
+      logger.info({ ...fields, delay: action.delay }, "decision: resumed");
     }
     if (action.delay === 0) openLink(action);
     else linkTimer = clock.setTimer(action.delay, () => openLink(action));
@@ -138,7 +149,11 @@
       generation,
       onlyIfDetached,
     });
-    if (result.err) logger.debug({ generation, failure: result.val }, "cancel failed");
+    if (result.err)
+      logger.debug(
+        { generation, failure: result.val },
+        "could not cancel the generation",
+      );
   };
 
   const apply = (action: SessionAction) => {
@@ -172,7 +187,7 @@
         closeLink();
         return;
       case "requestPlacement":
-        dispatcher.tell({
+        dispatcher.handle({
           kind: "attemptFailed",
           request: call.id,
           server: action.failedServer,
