--- a/packages/decisions/src/decisionCore.ts
+++ b/packages/decisions/src/decisionCore.ts
@@ -1,4 +1,4 @@
-/** Places, queues and refuses requests. Pure: time and randomness are passed in, and there is no I/O. */
+/** Places, queues and refuses requests. No I/O: time and randomness are passed in. */
 import type { BundleIndex, Tier, Workspace } from "@stairgauge/bundle";
 import {
   assertNever,
--- a/packages/decisions/src/engineView.ts
+++ b/packages/decisions/src/engineView.ts
@@ -127,7 +127,7 @@
     isEjected: (now: Ms) => now < ejectedUntil,
     /**
      * Forecasts the free memory with one more stream, in tokens, at the horizon where it is lowest.
-     * `caution` is the memory to keep free, in standard deviations. Negative if the stream does not fit.
+     * `caution` standard deviations are kept free. Negative if the stream does not fit.
      */
     computeFreeTokens: (options: {
       readonly candidate: Forecast;
--- a/packages/relay/src/runGeneration.ts
+++ b/packages/relay/src/runGeneration.ts
@@ -1,7 +1,4 @@
-/**
- * Runs one generation. The stream session decides what to do; this module does it with engine links and
- * the caller's sink.
- */
+/** Runs one generation: applies the actions of its stream session to engine links and the sink. */
 import { assertNever, type GenerationId, type Timer } from "@stairgauge/common";
 import type { EngineLink } from "@stairgauge/engines";
 import type { LinkFailure } from "@stairgauge/outcomes";
