--- a/packages/entry/src/answerControl.ts
+++ b/packages/entry/src/answerControl.ts
@@ -1,13 +1,16 @@
-/** What streamed and whole answers share: their run, and being sent elsewhere. */
+/** Controls that streamed and whole answers share. */
 import type { RunHandle } from "@stairgauge/relay";
 import type { ApiFailure } from "./apiError.js";
 
-/** Holds the run of an answer once it has begun. */
+/** Passes control calls to the run of an answer; they do nothing until a run is attached. */
 export type AnswerControl = Readonly<{
   attach: (run: RunHandle) => void;
+  /** Ends the run because the caller's connection closed. */
   leave: () => void;
+  /** Stops or resumes reading from the engine, as the caller's connection accepts data or not. */
   setBlocked: (isBlocked: boolean) => void;
-  sendAway: () => void;
+  /** Ends the answer with an error that asks the caller to resume on another box. */
+  endForResume: () => void;
 }>;
 
 /** Creates the control of an answer. */
@@ -22,7 +25,7 @@
     },
     leave: () => run?.leave(),
     setBlocked: (isBlocked) => run?.setBlocked(isBlocked),
-    sendAway: () => {
+    endForResume: () => {
       if (answer.isOver()) return;
       run?.leave();
       answer.fail({ kind: "resume_elsewhere" });
--- a/packages/entry/src/answerFormat.ts
+++ b/packages/entry/src/answerFormat.ts
@@ -1,24 +1,29 @@
-/** Renders answers in the callers' format. What repeats for each token is rendered once. */
+/** Renders answers in the format of the chat and completion APIs. */
 import type { StreamEnd } from "@stairgauge/streams";
 import type { GenerationInterface } from "./parseGeneration.js";
 
 const MS_PER_SECOND = 1_000;
 
-/** Identity of an answer. */
+/** Fields that are the same in all events of an answer. */
 export type AnswerIdentity = Readonly<{
+  /** Id of the generation. */
   generation: string;
+  /** Name of the model as the caller gave it. */
   model: string;
+  /** Wall time, milliseconds since 1970. */
   createdAt: number;
 }>;
 
 /** Renders one answer. */
 export type AnswerFormat = Readonly<{
-  /** Data of a streamed answer's first event, if it has one before the first token. */
+  /** Data of the event before the first token; undefined if the format has none. */
   renderOpening: () => string | undefined;
   renderToken: (text: string) => string;
+  /** Data of the event that carries the finish reason. */
   renderFinish: (end: StreamEnd) => string;
+  /** Data of the event that carries the token counts. */
   renderUsage: (end: StreamEnd) => string;
-  /** A whole answer. */
+  /** Body of an answer that is not streamed. */
   renderWhole: (text: string, end: StreamEnd) => unknown;
 }>;
 
@@ -58,8 +63,8 @@
   },
 } as const satisfies Record<GenerationInterface, Shape>;
 
-/** Stands in for the text while the frame around it is rendered. */
-const TEXT_MARK = "\u0000text\u0000";
+/** Placeholder for the text: a chunk is rendered once, and each token's text replaces it. */
+const TEXT_PLACEHOLDER = "\u0000text\u0000";
 
 /** Creates the format of one answer. */
 export const createAnswerFormat = (
@@ -78,8 +83,8 @@
       object: shape.chunkObject,
       choices: [{ index: 0, ...choice, logprobs: null, finish_reason: finishReason }],
     });
-  const frame = renderChunk(shape.toChunkChoice(TEXT_MARK), null);
-  const [before = "", after = ""] = frame.split(JSON.stringify(TEXT_MARK));
+  const template = renderChunk(shape.toChunkChoice(TEXT_PLACEHOLDER), null);
+  const [before = "", after = ""] = template.split(JSON.stringify(TEXT_PLACEHOLDER));
 
   return {
     renderOpening: () => shape.opening && renderChunk(shape.opening, null),
--- a/packages/entry/src/answerRegistry.ts
+++ b/packages/entry/src/answerRegistry.ts
@@ -1,7 +1,7 @@
-/** Keeps the answers under way, so that a planned stop cuts none. */
+/** Registry of open answers, so that a planned stop of the box can wait for them. */
 import type { AnswerRegistry, OpenAnswer } from "./types.js";
 
-/** Creates an empty registry that is open for new requests. */
+/** Creates an empty registry that accepts new requests. */
 export const createAnswerRegistry = (): AnswerRegistry => {
   const answers = new Set<OpenAnswer>();
   let isOpen = true;
@@ -17,7 +17,7 @@
     },
     count: () => answers.size,
     sendAllAway: () => {
-      for (const answer of [...answers]) answer.sendAway();
+      for (const answer of [...answers]) answer.endForResume();
     },
     isOpen: () => isOpen,
     closeAndWait: () => {
--- a/packages/entry/src/apiError.ts
+++ b/packages/entry/src/apiError.ts
@@ -1,4 +1,4 @@
-/** Every error that a caller can meet, in the shape of the interface that callers know. */
+/** All errors that callers can receive, in the format of the chat and completion APIs. */
 import type { ServerResponse } from "node:http";
 import { assertNever, type Ms } from "@stairgauge/common";
 import type { BodyFailure, ClientFault } from "@stairgauge/http";
@@ -27,26 +27,30 @@
   | { kind: "refused"; refusal: Refusal }
   | { kind: "stream_failed"; failure: StreamFailure }
   | { kind: "resume_elsewhere" }
-  /** Without a failure no server of the service takes new work. */
+  /** `failure` is that of the last attempt; undefined if no server could be tried. */
   | { kind: "service_failed"; failure: LinkFailure | undefined; outcome: Outcome }
   | { kind: "idempotency_key_needed" }
   | { kind: "once_refused"; reason: OnceRefusal; outcome: Outcome }
   | { kind: "once_answer_too_large" }
 >;
 
-/** An error as it is answered. */
+/** An error response. */
 export type ApiError = Readonly<{
+  /** HTTP status. */
   status: number;
   type: string;
   code: string;
   message: string;
+  /** The field or header that the error is about; null if it is about none. */
   param: string | null;
+  /** Whether the request ran. */
   outcome: Outcome;
+  /** Time after which the caller is asked to retry; undefined if the error suggests no retry. */
   retryAfter: Ms | undefined;
 }>;
 
-/** Refusal of a box that is stopping. */
-export const LEAVING: ApiFailure = {
+/** Failure of requests that arrive while the box is stopping. */
+export const BOX_STOPPING: ApiFailure = {
   kind: "refused",
   refusal: { reason: "leaving", retryAfter: 0 as Ms, outcome: "not_run" },
 };
@@ -55,7 +59,7 @@
 const SERVER = "server_error";
 const RETRY_SOON_MS = 1_000 as Ms;
 
-const build = (
+const buildError = (
   status: number,
   code: string,
   message: string,
@@ -84,17 +88,17 @@
   const message = REFUSAL_MESSAGES[reason];
   switch (reason) {
     case "queue_full":
-      return build(429, reason, message, {
+      return buildError(429, reason, message, {
         type: "rate_limit_error",
         retryAfter,
         outcome,
       });
     case "too_large_for_memory":
-      return build(400, reason, message, { outcome });
+      return buildError(400, reason, message, { outcome });
     case "no_backend_server":
     case "deadline_unreachable":
     case "leaving":
-      return build(503, reason, message, { retryAfter, outcome });
+      return buildError(503, reason, message, { retryAfter, outcome });
     default:
       return assertNever(reason);
   }
@@ -104,16 +108,16 @@
   const { outcome } = failure;
   switch (failure.kind) {
     case "generation_lost":
-      return build(502, failure.kind, "The generation was lost before its end.", {
+      return buildError(502, failure.kind, "The generation was lost before its end.", {
         outcome,
       });
     case "attempts_exhausted":
-      return build(503, failure.kind, "No engine could start the generation.", {
+      return buildError(503, failure.kind, "No engine could start the generation.", {
         outcome,
         retryAfter: RETRY_SOON_MS,
       });
     case "token_count_mismatch":
-      return build(502, failure.kind, "The engine's end does not fit its tokens.", {
+      return buildError(502, failure.kind, "The engine's end does not fit its tokens.", {
         outcome,
       });
     default:
@@ -142,7 +146,7 @@
   const { status, message } = ONCE_REFUSALS[reason];
   const mayChange = reason === "store_unavailable" || reason === "in_progress";
   const retryAfter = mayChange ? RETRY_SOON_MS : undefined;
-  return build(status, reason, message, { outcome, retryAfter });
+  return buildError(status, reason, message, { outcome, retryAfter });
 };
 
 const describeServiceFailure = (
@@ -150,9 +154,14 @@
   outcome: Outcome,
 ): ApiError => {
   if (failure)
-    return build(502, "service_failed", "The service gave no whole answer.", { outcome });
+    return buildError(502, "service_failed", "The service gave no whole answer.", {
+      outcome,
+    });
   const message = "No server of this service takes new work.";
-  return build(503, "no_service_server", message, { outcome, retryAfter: RETRY_SOON_MS });
+  return buildError(503, "no_service_server", message, {
+    outcome,
+    retryAfter: RETRY_SOON_MS,
+  });
 };
 
 const CLIENT_FAULT_STATUS = {
@@ -161,59 +170,59 @@
   malformed: 400,
 } as const;
 
-/** Describes a failure as callers are told of it. */
+/** Converts a failure to the error that the caller receives. */
 export const describeFailure = (failure: ApiFailure): ApiError => {
   switch (failure.kind) {
     case "body_too_large":
-      return build(413, failure.kind, `The body exceeds ${failure.maxBytes} bytes.`);
+      return buildError(413, failure.kind, `The body exceeds ${failure.maxBytes} bytes.`);
     case "body_too_slow":
-      return build(408, failure.kind, "The body arrived too slowly.");
+      return buildError(408, failure.kind, "The body arrived too slowly.");
     case "body_cut_off":
-      return build(400, failure.kind, "The body ended early.");
+      return buildError(400, failure.kind, "The body ended early.");
     case "body_not_json":
-      return build(400, failure.kind, "The body is not valid JSON.");
+      return buildError(400, failure.kind, "The body is not valid JSON.");
     case "client_fault":
-      return build(
+      return buildError(
         CLIENT_FAULT_STATUS[failure.fault],
         failure.fault,
         "The request is not acceptable HTTP.",
       );
     case "invalid_field":
-      return build(400, failure.kind, `${failure.param}: ${failure.expected}`, {
+      return buildError(400, failure.kind, `${failure.param}: ${failure.expected}`, {
         param: failure.param,
       });
     case "unsupported_field":
-      return build(400, failure.kind, `${failure.param} is not supported here.`, {
+      return buildError(400, failure.kind, `${failure.param} is not supported here.`, {
         param: failure.param,
       });
     case "context_length_exceeded":
-      return build(
+      return buildError(
         400,
         failure.kind,
         `Prompt and answer exceed ${failure.limit} tokens.`,
         { param: "messages" },
       );
     case "missing_key":
-      return build(401, failure.kind, "A key is needed: Authorization: Bearer KEY.");
+      return buildError(401, failure.kind, "A key is needed: Authorization: Bearer KEY.");
     case "wrong_key":
-      return build(401, "invalid_api_key", "The key is not known.");
+      return buildError(401, "invalid_api_key", "The key is not known.");
     case "unknown_model":
-      return build(
+      return buildError(
         404,
         "model_not_found",
         `The model ${JSON.stringify(failure.model)} does not exist or is not granted.`,
         { param: "model" },
       );
     case "unknown_service":
-      return build(
+      return buildError(
         404,
         "service_not_found",
         "The service does not exist or is not granted.",
       );
     case "unknown_route":
-      return build(404, failure.kind, "There is no such route.");
+      return buildError(404, failure.kind, "There is no such route.");
     case "not_ready":
-      return build(503, failure.kind, "No bundle is in force on this box yet.", {
+      return buildError(503, failure.kind, "No bundle is in force on this box yet.", {
         retryAfter: RETRY_SOON_MS,
       });
     case "refused":
@@ -221,7 +230,7 @@
     case "stream_failed":
       return describeStreamFailure(failure.failure);
     case "resume_elsewhere":
-      return build(
+      return buildError(
         503,
         failure.kind,
         "This box stops: resume with the last event's id.",
@@ -233,26 +242,26 @@
     case "malformed_token":
     case "unknown_key":
     case "wrong_signature":
-      return build(
+      return buildError(
         400,
         "invalid_resume_token",
         "Last-Event-ID is no token of this workspace.",
         { param: "Last-Event-ID" },
       );
     case "expired_token":
-      return build(410, failure.kind, "The resume token has expired.", {
+      return buildError(410, failure.kind, "The resume token has expired.", {
         param: "Last-Event-ID",
       });
     case "service_failed":
       return describeServiceFailure(failure.failure, failure.outcome);
     case "idempotency_key_needed":
-      return build(400, failure.kind, "This route needs an Idempotency-Key.", {
+      return buildError(400, failure.kind, "This route needs an Idempotency-Key.", {
         param: "Idempotency-Key",
       });
     case "once_refused":
       return describeOnceRefusal(failure.reason, failure.outcome);
     case "once_answer_too_large":
-      return build(
+      return buildError(
         502,
         failure.kind,
         "The call ran; its answer is too large to pass on.",
@@ -265,18 +274,18 @@
   }
 };
 
-/** The body of an error. */
+/** Body of an error response. */
 export const renderErrorBody = ({ message, type, param, code, outcome }: ApiError) => ({
   error: { message, type, param, code, outcome },
 });
 
-/** Headers of an error; Retry-After in whole seconds, rounded up. */
+/** Headers of an error response; Retry-After is in whole seconds, rounded up. */
 export const renderErrorHeaders = ({ retryAfter }: ApiError): Record<string, string> =>
   retryAfter === undefined
     ? {}
     : { "retry-after": String(Math.ceil(retryAfter / MS_PER_SECOND)) };
 
-/** Answers a failure, unless an answer has begun, and counts it; returns what it describes. */
+/** Counts a failure, sends it as an error response unless one has begun, and returns the error. */
 export const sendFailure = (
   response: ServerResponse,
   failure: ApiFailure,
@@ -285,7 +294,7 @@
   const error = describeFailure(failure);
   metrics.refusals.inc({ code: error.code });
   const headers = renderErrorHeaders(error);
-  // NOTE: what is left of an unread body would be taken for the next request.
+  // NOTE: the rest of an unread body would be parsed as the next request, so the connection closes.
   const isBodyUnread = !response.req.complete;
   sendJson(response, error.status, renderErrorBody(error), {
     ...headers,
--- a/packages/entry/src/authenticate.ts
+++ b/packages/entry/src/authenticate.ts
@@ -1,4 +1,4 @@
-/** Recognises callers by their keys. */
+/** Authenticates callers by their API keys. */
 import type { IncomingMessage } from "node:http";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import type { ApiFailure } from "./apiError.js";
@@ -6,7 +6,7 @@
 
 const BEARER_PATTERN = /^Bearer +(\S{1,200})$/i;
 
-/** Finds the workspace whose key the request presents. */
+/** Finds the workspace whose key is in the request's Authorization header. */
 export const authenticate = (
   request: IncomingMessage,
   deps: EntryDeps,
--- a/packages/entry/src/callService.ts
+++ b/packages/entry/src/callService.ts
@@ -1,4 +1,4 @@
-/** Runs a call over one server of a plain service after another, until one answers or none may be tried. */
+/** Sends a call to a plain service; retries on other servers of the service where that is allowed. */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Readable } from "node:stream";
 import type { ServiceServer } from "@stairgauge/bundle";
@@ -16,24 +16,27 @@
 const MAX_SERVICE_ATTEMPTS = 3;
 const REFUSED_STATUS = 503;
 
-/** Header in which a service's server says that it ran nothing of the call it refuses. */
+/** Response header: `not_run` if the server refused the call and ran no part of it. */
 const OUTCOME_HEADER = "stairgauge-outcome";
 
-/** Header in which a service's server says that it is leaving. */
+/** Response header: `true` if the server is leaving. */
 const LEAVING_HEADER = "stairgauge-leaving";
 
-/** A body that can be sent again, or one that is streamed once. */
+/** A request body: buffered, so that a retry can send it again, or streamed, which works only once. */
 export type ServiceBody = Readonly<
   { kind: "replayable"; bytes: Buffer | null } | { kind: "streamed"; stream: Readable }
 >;
 
-/** Receives an answer. Exactly one of `onEnd` and `onFailure` comes last. */
+/** Receives an answer. Exactly one of `onEnd` and `onFailure` is called, as the last. */
 export type ServiceAnswerSink = Readonly<{
   onHead: (status: number, headers: IncomingHttpHeaders) => void;
-  /** Takes bytes; false asks to stop until `resume`. */
+  /** Receives bytes; returning false asks to stop reading until `resume`. */
   onData: (chunk: Buffer) => boolean;
   onEnd: () => void;
-  /** `outcome` holds for all attempts together. */
+  /**
+   * `failure` is that of the last attempt; undefined if no server could be tried. `outcome` combines
+   * all attempts.
+   */
   onFailure: (failure: LinkFailure | undefined, outcome: Outcome) => void;
 }>;
 
@@ -59,7 +62,7 @@
   };
 };
 
-/** Starts the call. */
+/** Starts the call. The sink may be called before this returns. */
 export const callService = (
   deps: EntryDeps,
   call: ServiceCallRequest,
@@ -96,10 +99,10 @@
     else sink.onFailure(failure, combineOutcomes(outcomes));
   };
 
-  const attempt = (last: LinkFailure | undefined) => {
+  const attempt = (lastFailure: LinkFailure | undefined) => {
     const choice = serviceRouter.choose(target.servers, tried, clock.monotonic());
     if (choice.kind === "none_left") {
-      sink.onFailure(last, combineOutcomes(outcomes));
+      sink.onFailure(lastFailure, combineOutcomes(outcomes));
       return;
     }
     const { server, reason, outstanding } = choice;
--- a/packages/entry/src/entryServer.ts
+++ b/packages/entry/src/entryServer.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP server. */
+/** The HTTP server for callers. */
 import { createHttpServer, type ClientFault, type HttpServer } from "@stairgauge/http";
 import { describeFailure, renderErrorBody, sendFailure } from "./apiError.js";
 import { createGenerationRoutes } from "./generationRoutes.js";
@@ -16,7 +16,7 @@
   };
 };
 
-/** Creates the server that callers talk to. */
+/** Creates the HTTP server with all routes for callers. */
 export const createEntryServer = (deps: EntryDeps): HttpServer =>
   createHttpServer({
     routes: [
@@ -28,5 +28,5 @@
       sendFailure(response, { kind: "unknown_route" }, deps.metrics),
     tls: deps.tls,
     renderClientFault: (fault) => renderClientFault(fault, deps),
-    reportFault: (error) => deps.logger.error({ err: error }, "a route failed"),
+    reportFault: (error) => deps.logger.error({ err: error }, "request handler failed"),
   });
--- a/packages/entry/src/generationRoutes.ts
+++ b/packages/entry/src/generationRoutes.ts
@@ -1,4 +1,4 @@
-/** `/v1/chat/completions` and `/v1/completions`. */
+/** The routes `/v1/chat/completions` and `/v1/completions`. */
 import type { HttpExchange, HttpRoute } from "@stairgauge/http";
 import { sendFailure } from "./apiError.js";
 import type { GenerationInterface } from "./parseGeneration.js";
@@ -18,7 +18,7 @@
     startAnswer({ deps, kind, response: exchange.response, prepared: prepared.val });
   };
 
-/** Routes that generate. */
+/** Creates the routes that run generations. */
 export const createGenerationRoutes = (deps: EntryDeps): readonly HttpRoute[] => [
   { method: "POST", path: "/v1/chat/completions", handle: createHandler("chat", deps) },
   { method: "POST", path: "/v1/completions", handle: createHandler("completion", deps) },
--- a/packages/entry/src/keptAnswer.ts
+++ b/packages/entry/src/keptAnswer.ts
@@ -1,10 +1,10 @@
-/** Answers that are kept for a repeat of the same call. */
+/** Stored answers, which are sent again when the caller repeats the call. */
 import { createHash } from "node:crypto";
 import type { ServerResponse } from "node:http";
 import type { KeptAnswer } from "@stairgauge/outcomes";
 import type { PassedHeaders } from "./serviceTarget.js";
 
-/** Builds what is kept of an answer. */
+/** Converts an answer to its stored form. */
 export const toKeptAnswer = (answer: {
   readonly status: number;
   readonly headers: PassedHeaders;
@@ -15,7 +15,7 @@
   body: answer.body.toString("base64"),
 });
 
-/** Sends a kept answer, the first time or again. */
+/** Sends a stored answer, unless a response has begun or the connection is closed. */
 export const sendKeptAnswer = (response: ServerResponse, kept: KeptAnswer): void => {
   if (response.headersSent || response.destroyed) return;
   const body = Buffer.from(kept.body, "base64");
@@ -26,7 +26,7 @@
   response.end(body);
 };
 
-/** Identity of a call's content, so that another content under the same key is refused. */
+/** Hashes a call's content, so that other content under the same key can be refused. */
 export const computeContentHash = (parts: readonly (string | Buffer)[]): string => {
   const hash = createHash("sha256");
   for (const part of parts) hash.update(`${part.length}\n`).update(part);
--- a/packages/entry/src/modelRoutes.ts
+++ b/packages/entry/src/modelRoutes.ts
@@ -1,4 +1,4 @@
-/** `/v1/models`: what the caller's workspace may use. */
+/** The routes under `/v1/models`, which list what the caller's workspace may use. */
 import { sendJson, type HttpExchange, type HttpRoute } from "@stairgauge/http";
 import { sendFailure } from "./apiError.js";
 import { authenticate } from "./authenticate.js";
@@ -12,7 +12,7 @@
   owned_by: "stairgauge",
 });
 
-/** Routes that list models. */
+/** Creates the routes that list models. */
 export const createModelRoutes = (deps: EntryDeps): readonly HttpRoute[] => {
   const handleList = ({ request, response }: HttpExchange) => {
     const caller = authenticate(request, deps);
--- a/packages/entry/src/parseGeneration.test.ts
+++ b/packages/entry/src/parseGeneration.test.ts
@@ -1,4 +1,4 @@
-/** The parser of callers' bodies. */
+/** Tests of the parser of request bodies. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { parseGeneration } from "./parseGeneration.js";
@@ -9,7 +9,7 @@
 const findFailure = (body: unknown) => parseGeneration("chat", body).val;
 
 describe("parseGeneration", () => {
-  it("reads a chat with parts, limits and usage", () => {
+  it("parses a chat request with content parts, limits and usage", () => {
     const ask = parseGeneration("chat", {
       ...CHAT,
       messages: [
@@ -41,7 +41,7 @@
     ["response_format", { type: "json_object" }],
     ["logit_bias", { "1": 1 }],
     ["modalities", ["audio"]],
-  ])("refuses %s by name where it would change the answer", (param, value) => {
+  ])("rejects the unsupported field %s if it would change the answer", (param, value) => {
     expect(findFailure({ ...CHAT, [param]: value })).toEqual({
       kind: "unsupported_field",
       param,
@@ -52,9 +52,12 @@
     ["n", 1],
     ["tools", []],
     ["response_format", { type: "text" }],
-  ])("takes %s where it is harmless", (param, value) => {
-    expect(parseGeneration("chat", { ...CHAT, [param]: value }).ok).toBe(true);
-  });
+  ])(
+    "accepts the unsupported field %s if it does not change the answer",
+    (param, value) => {
+      expect(parseGeneration("chat", { ...CHAT, [param]: value }).ok).toBe(true);
+    },
+  );
 
   it.each([
     ["messages", { model: "m" }],
@@ -65,11 +68,11 @@
     ["model", { messages: MESSAGES }],
     ["body", [CHAT]],
     ["body", null],
-  ])("names the wrong field %s", (param, body) => {
+  ])("rejects a body with the invalid field %s, and names the field", (param, body) => {
     expect(findFailure(body)).toMatchObject({ kind: "invalid_field", param });
   });
 
-  it("never throws, whatever the JSON", () => {
+  it("does not throw for random JSON", () => {
     const run = fc.property(
       fc.jsonValue(),
       fc.constantFrom("chat", "completion"),
--- a/packages/entry/src/parseGeneration.ts
+++ b/packages/entry/src/parseGeneration.ts
@@ -1,20 +1,25 @@
-/** Reads the bodies of `/v1/chat/completions` and `/v1/completions`. */
+/** Parses the bodies of `/v1/chat/completions` and `/v1/completions`. */
 import { z } from "zod";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import type { ApiFailure } from "./apiError.js";
 import { MAX_MESSAGES, MAX_STOPS } from "./constants.js";
 
-/** Which of the two interfaces a caller uses. */
+/** The API of a request: `/v1/chat/completions` or `/v1/completions`. */
 export type GenerationInterface = "chat" | "completion";
 
-/** What a caller asked for. */
+/** A parsed request body. */
 export type GenerationAsk = Readonly<{
+  /** Name of a model or adapter, as the caller gave it. */
   model: string;
   prompt: string;
+  /** Max length of the answer, tokens; undefined if the caller gave none. */
   maxTokens: number | undefined;
+  /** Texts at which the answer ends. */
   stop: readonly string[];
+  /** Sampling temperature; undefined if the caller gave none. */
   temperature: number | undefined;
   isStreamed: boolean;
+  /** Whether the stream ends with an event that carries the token counts. */
   includesUsage: boolean;
 }>;
 
@@ -47,7 +52,7 @@
 
 type Shared = z.infer<z.ZodObject<typeof shared>>;
 
-/** Fields that would change the answer and are not supported, with the values that are harmless. */
+/** Unsupported fields that would change the answer. Values that do not change it are accepted. */
 const UNSUPPORTED: readonly Readonly<{
   param: string;
   isHarmless: (value: unknown) => boolean;
@@ -119,7 +124,7 @@
   return { kind: "invalid_field", param, expected: issue?.message ?? "another value" };
 };
 
-/** Reads a decoded body; names the first wrong or unsupported field. */
+/** Validates a decoded JSON body. A failure names the first invalid or unsupported field. */
 export const parseGeneration = (
   kind: GenerationInterface,
   body: unknown,
--- a/packages/entry/src/prepareGeneration.ts
+++ b/packages/entry/src/prepareGeneration.ts
@@ -1,4 +1,4 @@
-/** Recognises and checks a request for a generation. */
+/** Authenticates and validates a request for a generation. */
 import {
   Err,
   Ok,
@@ -11,7 +11,7 @@
 import type { OnceKey } from "@stairgauge/claims";
 import type { GenerationCall } from "@stairgauge/relay";
 import { verifyResumeToken, type Continuation } from "@stairgauge/streams";
-import { LEAVING, type ApiFailure } from "./apiError.js";
+import { BOX_STOPPING, type ApiFailure } from "./apiError.js";
 import { authenticate } from "./authenticate.js";
 import { CHARACTERS_PER_TOKEN } from "./constants.js";
 import {
@@ -23,17 +23,18 @@
 import { resolveModel, type ResolvedModel } from "./resolveModel.js";
 import type { Caller, EntryDeps } from "./types.js";
 
-/** A request that was recognised and checked. */
+/** An authenticated, validated request. */
 export type PreparedGeneration = Readonly<{
   caller: Caller;
   ask: GenerationAsk;
   call: GenerationCall;
+  /** Set if the caller resumes an earlier generation. */
   continuation: Continuation | undefined;
-  /** Set where the caller asks that the generation run at most once. */
+  /** Set if the generation must run at most once. */
   onceKey: OnceKey | undefined;
 }>;
 
-/** Fits prompt and answer into the model's context. */
+/** Limits the answer to the rest of the model's context; fails if the prompt leaves none. */
 const buildCall = (
   ask: GenerationAsk,
   resolved: ResolvedModel,
@@ -41,8 +42,8 @@
 ): Result<GenerationCall, ApiFailure> => {
   const { model, adapter } = resolved;
   const promptTokens = Math.max(1, Math.ceil(ask.prompt.length / CHARACTERS_PER_TOKEN));
-  const room = Math.min(model.maxOutputTokens, model.contextTokens - promptTokens);
-  if (room < 1)
+  const available = Math.min(model.maxOutputTokens, model.contextTokens - promptTokens);
+  if (available < 1)
     return Err({ kind: "context_length_exceeded", limit: model.contextTokens });
   return Ok({
     id: options.id,
@@ -51,7 +52,7 @@
     adapter,
     prompt: ask.prompt,
     promptTokens,
-    maxTokens: Math.min(room, ask.maxTokens ?? room),
+    maxTokens: Math.min(available, ask.maxTokens ?? available),
     stop: ask.stop,
     temperature: ask.temperature,
   });
@@ -75,13 +76,13 @@
   return Ok({ server: claim.server, generation: claim.generation, nextIndex });
 };
 
-/** Prepares a request; nothing of it has run where this fails. */
+/** Authenticates and validates a request. If this fails, nothing of the request has run. */
 export const prepareGeneration = async (
   kind: GenerationInterface,
   exchange: HttpExchange,
   deps: EntryDeps,
 ): Promise<Result<PreparedGeneration, ApiFailure>> => {
-  if (!deps.answers.isOpen()) return Err(LEAVING);
+  if (!deps.answers.isOpen()) return Err(BOX_STOPPING);
   const caller = authenticate(exchange.request, deps);
   if (caller.err) return caller;
   const body = await readJsonBody(exchange.request, deps.bodyLimits, deps.clock);
--- a/packages/entry/src/readOnceKey.ts
+++ b/packages/entry/src/readOnceKey.ts
@@ -1,4 +1,4 @@
-/** Reads the key with which a caller asks that a call run at most once. */
+/** Reads the Idempotency-Key header, with which a caller asks that a call run at most once. */
 import type { IncomingMessage } from "node:http";
 import type { OnceKey } from "@stairgauge/claims";
 import { Err, Ok, type Result, type WorkspaceName } from "@stairgauge/common";
@@ -7,7 +7,7 @@
 const KEY_PATTERN = /^[\x21-\x7e]{1,200}$/;
 const HEADER = "idempotency-key";
 
-/** The key, undefined where the caller gave none. */
+/** Returns the key, undefined if there is none, or a failure if it is invalid. */
 export const readOnceKey = (
   request: IncomingMessage,
   workspace: WorkspaceName,
--- a/packages/entry/src/registerServiceAnswer.ts
+++ b/packages/entry/src/registerServiceAnswer.ts
@@ -1,16 +1,16 @@
-/** Keeps a plain service's answer among the open ones, so that a planned stop waits for it. */
+/** Registers an answer of a plain service as open, so that a planned stop of the box waits for it. */
 import type { EntryDeps, OpenAnswer } from "./types.js";
 
 /** An open answer of a plain service. */
 export type ServiceAnswer = Readonly<{
-  /** Ends the answer; only the first end counts. */
+  /** Ends the answer; later calls do nothing. `left`: the caller's connection closed. */
   finish: (end: "whole" | "failed" | "left") => void;
   isOver: () => boolean;
 }>;
 
-/** Registers the answer until it is finished. A stop cannot send it elsewhere. */
+/** Registers an answer until it is finished. It cannot be resumed on another box. */
 export const registerServiceAnswer = (deps: EntryDeps): ServiceAnswer => {
-  const answer: OpenAnswer = { sendAway: () => undefined };
+  const answer: OpenAnswer = { endForResume: () => undefined };
   let isOver = false;
   deps.answers.add(answer);
   return {
--- a/packages/entry/src/resolveModel.ts
+++ b/packages/entry/src/resolveModel.ts
@@ -1,13 +1,13 @@
-/** Resolves the names that callers use to models and adapters that their workspace may reach. */
+/** Resolves model names of callers to the models and adapters that their workspace may use. */
 import type { Model } from "@stairgauge/bundle";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import type { ApiFailure } from "./apiError.js";
 import type { Caller } from "./types.js";
 
-/** A model, perhaps with an adapter. */
+/** A model, and an adapter if the name contains one. */
 export type ResolvedModel = Readonly<{ model: Model; adapter: string | undefined }>;
 
-/** Resolves a name: a model, an adapter, or `MODEL:ADAPTER`. */
+/** Resolves a name of the form `MODEL`, `ADAPTER` or `MODEL:ADAPTER`. */
 export const resolveModel = (
   name: string,
   { workspace, index }: Caller,
@@ -28,7 +28,7 @@
   return isGranted ? Ok({ model, adapter }) : unknown;
 };
 
-/** All names that a caller may use. */
+/** All names of models and adapters that a caller may use. */
 export const listModelNames = ({ workspace, index }: Caller): readonly string[] => [
   ...workspace.models,
   ...workspace.adapters.filter((adapter) => {
--- a/packages/entry/src/runOnceService.ts
+++ b/packages/entry/src/runOnceService.ts
@@ -1,4 +1,4 @@
-/** Runs a call that may run once: claims its key, sends it, keeps its answer for a repeat. */
+/** Runs an at-most-once call: claims its key, sends it, and stores its answer for repeats. */
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import type { ClaimedCall, OnceKey } from "@stairgauge/claims";
 import type { KeptAnswer } from "@stairgauge/outcomes";
@@ -10,7 +10,7 @@
 import { copyHeaders } from "./serviceTarget.js";
 import type { EntryDeps } from "./types.js";
 
-/** A call that may run once. */
+/** An at-most-once call to a plain service. */
 export type OnceServiceCall = Readonly<{
   call: ServiceCallRequest;
   key: OnceKey;
@@ -18,8 +18,8 @@
 }>;
 
 /**
- * Claims and runs the call. Once it has been sent, it goes on even if its caller leaves: the answer
- * is recorded for the caller's repeat.
+ * Claims and runs the call. A call that has been sent goes on even if its caller disconnects, so that
+ * the stored answer can be sent when the caller repeats the call.
  */
 export const runOnceService = (
   deps: EntryDeps,
--- a/packages/entry/src/serviceRoutes.ts
+++ b/packages/entry/src/serviceRoutes.ts
@@ -1,4 +1,4 @@
-/** `/services/NAME/…`: calls to plain services, routed over the bundle's backend servers. */
+/** The routes under `/services/NAME`, which pass calls to the backend servers of plain services. */
 import type { IncomingMessage } from "node:http";
 import {
   Err,
@@ -8,7 +8,7 @@
   type WorkspaceName,
 } from "@stairgauge/common";
 import { readBody, type HttpExchange, type HttpRoute } from "@stairgauge/http";
-import { LEAVING, sendFailure, type ApiFailure } from "./apiError.js";
+import { BOX_STOPPING, sendFailure, type ApiFailure } from "./apiError.js";
 import { authenticate } from "./authenticate.js";
 import type { ServiceBody } from "./callService.js";
 import { MAX_REPLAY_BYTES } from "./constants.js";
@@ -21,8 +21,8 @@
 
 const METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"] as const;
 
-/** Keeps a small body of known length, so that the call can be sent again; others are streamed. */
-const takeBody = async (
+/** Buffers a small body of known length, so that a retry can send it again; streams any other body. */
+const prepareBody = async (
   request: IncomingMessage,
   deps: EntryDeps,
 ): Promise<Result<ServiceBody, ApiFailure>> => {
@@ -37,20 +37,21 @@
   return bytes.err ? bytes : Ok({ kind: "replayable", bytes: bytes.val });
 };
 
+/** An authenticated call and its target. */
 type Prepared = Readonly<{ caller: Caller; target: ServiceTarget }>;
 
 const prepare = (
   exchange: HttpExchange,
   deps: EntryDeps,
 ): Result<Prepared, ApiFailure> => {
-  if (!deps.answers.isOpen()) return Err(LEAVING);
+  if (!deps.answers.isOpen()) return Err(BOX_STOPPING);
   const caller = authenticate(exchange.request, deps);
   if (caller.err) return caller;
   const target = findServiceTarget(exchange, caller.val);
   return target.err ? target : Ok({ caller: caller.val, target: target.val });
 };
 
-/** Takes a call that may run once: its key and its whole body come first. */
+/** Starts an at-most-once call after its key and its whole body are read; returns why it cannot. */
 const startOnce = async (
   { request, response }: HttpExchange,
   deps: EntryDeps,
@@ -71,12 +72,13 @@
   return undefined;
 };
 
+/** Starts a call that may be retried; returns why it cannot. */
 const startRepeatable = async (
   { request, response }: HttpExchange,
   deps: EntryDeps,
   { caller, target }: Prepared,
 ): Promise<ApiFailure | undefined> => {
-  const body = await takeBody(request, deps);
+  const body = await prepareBody(request, deps);
   if (body.err) return body.val;
   const id = deps.random.nextId() as RequestId;
   const workspace = caller.workspace.name;
@@ -84,7 +86,7 @@
   return undefined;
 };
 
-/** Routes to plain services. */
+/** Creates the routes to plain services. */
 export const createServiceRoutes = (deps: EntryDeps): readonly HttpRoute[] => {
   const handle = async (exchange: HttpExchange): Promise<void> => {
     const prepared = prepare(exchange, deps);
--- a/packages/entry/src/serviceTarget.ts
+++ b/packages/entry/src/serviceTarget.ts
@@ -1,4 +1,4 @@
-/** Finds which plain service, route and servers a call is for. */
+/** Finds the plain service, the route and the servers of a call. */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Service, ServiceRoute, ServiceServer } from "@stairgauge/bundle";
 import { Err, Ok, type Result } from "@stairgauge/common";
@@ -6,8 +6,8 @@
 import type { ApiFailure } from "./apiError.js";
 import type { Caller } from "./types.js";
 
-/** Headers that belong to one connection, or to this system, and are not passed on. */
-const OWN_HEADERS: ReadonlySet<string> = new Set([
+/** Headers of a single connection, and credentials for the box; they are not forwarded. */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
   "authorization",
   "connection",
   "content-length",
@@ -22,16 +22,16 @@
   "upgrade",
 ]);
 
-/** Headers of an exchange, without those that are not passed on. */
+/** Headers of a request or response that are forwarded. */
 export type PassedHeaders = Readonly<Record<string, string | readonly string[]>>;
 
-/** Where a call goes. */
+/** Where a call is sent, and with what. */
 export type ServiceTarget = Readonly<{
   service: Service;
   route: ServiceRoute;
   servers: readonly ServiceServer[];
   method: string;
-  /** Path and query on the server. */
+  /** Path and query on the server, without `/services/NAME`. */
   path: string;
   headers: PassedHeaders;
 }>;
@@ -43,15 +43,15 @@
     : route.path === path;
 };
 
-/** Copies the headers that are passed on. */
+/** Copies the headers that are forwarded. */
 export const copyHeaders = (headers: IncomingHttpHeaders): PassedHeaders =>
   Object.fromEntries(
     Object.entries(headers).flatMap(([name, value]) =>
-      value === undefined || OWN_HEADERS.has(name) ? [] : [[name, value]],
+      value === undefined || UNFORWARDED_HEADERS.has(name) ? [] : [[name, value]],
     ),
   );
 
-/** Finds the target among what the caller's workspace was granted. */
+/** Finds the target of a call. Fails if the caller's workspace may not use the service. */
 export const findServiceTarget = (
   { request, params }: HttpExchange,
   { workspace, index }: Caller,
--- a/packages/entry/src/startAnswer.ts
+++ b/packages/entry/src/startAnswer.ts
@@ -1,4 +1,4 @@
-/** Starts a prepared generation, and claims its key first where it may run once. */
+/** Starts a prepared generation. An at-most-once generation is claimed first. */
 import type { ServerResponse } from "node:http";
 import type { ClaimedCall, OnceKey } from "@stairgauge/claims";
 import { assertNever } from "@stairgauge/common";
@@ -18,7 +18,7 @@
   prepared: PreparedGeneration;
 }>;
 
-/** Records how a claimed generation ended. */
+/** Records in the claim how the generation ended. */
 const recordOver = (claimed: ClaimedCall, over: AnswerOver): Promise<void> => {
   switch (over.end) {
     case "whole": {
@@ -54,8 +54,8 @@
     const { end } = over;
     const elapsedMs = Math.round(deps.clock.monotonic() - startedAt);
     deps.metrics.requests.inc({ interface: kind, end });
-    const line = { request: call.id, workspace: call.workspace, end, elapsedMs };
-    deps.logger.info(line, "answer over");
+    const fields = { request: call.id, workspace: call.workspace, end, elapsedMs };
+    deps.logger.info(fields, "answer ended");
     const remove = () => deps.answers.remove(answer);
     if (claimed) void recordOver(claimed, over).then(remove);
     else remove();
@@ -78,9 +78,14 @@
 const claimAndRun = (start: AnswerStart, key: OnceKey): void => {
   const { deps, kind, response, prepared } = start;
   const { ask, call } = prepared;
-  const form = JSON.stringify({ ...ask, kind, model: call.model, adapter: call.adapter });
+  const content = JSON.stringify({
+    ...ask,
+    kind,
+    model: call.model,
+    adapter: call.adapter,
+  });
   deps.onceGuard.claim(
-    { key, contentHash: computeContentHash([form]) },
+    { key, contentHash: computeContentHash([content]) },
     {
       onSend: (claimed) => runAnswer(start, claimed),
       onReplay: (kept) => sendKeptAnswer(response, kept),
@@ -90,7 +95,7 @@
   );
 };
 
-/** Starts the generation. A continued one has been claimed when it began. */
+/** Starts the generation. A resumed one is not claimed again, as it was claimed when it began. */
 export const startAnswer = (start: AnswerStart): void => {
   const { onceKey, continuation } = start.prepared;
   if (onceKey && !continuation) claimAndRun(start, onceKey);
--- a/packages/entry/src/streamServiceAnswer.ts
+++ b/packages/entry/src/streamServiceAnswer.ts
@@ -1,4 +1,4 @@
-/** Passes a plain service's answer on as it comes. */
+/** Streams the answer of a plain service to the caller. */
 import type { ServerResponse } from "node:http";
 import { sendFailure } from "./apiError.js";
 import { callService, type ServiceCallRequest } from "./callService.js";
--- a/packages/entry/src/streamedAnswer.test.ts
+++ b/packages/entry/src/streamedAnswer.test.ts
@@ -1,4 +1,4 @@
-/** A streamed answer before a caller that does not read. */
+/** Tests of a streamed answer whose caller reads nothing. */
 import { createServer, request, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { afterEach, describe, expect, it } from "vitest";
@@ -24,7 +24,7 @@
   server.close();
 });
 
-/** A real response whose caller has read nothing but the head. */
+/** Opens a real HTTP response whose caller reads only the headers. */
 const openResponse = () =>
   new Promise<ServerResponse>((resolve) => {
     server = createServer((_request, response) => resolve(response)).listen(
@@ -64,7 +64,7 @@
   return { clock, answer, overs };
 };
 
-/** Hands tokens over until the answer asks to stop; returns how many it took. */
+/** Sends tokens until the answer asks to stop; returns how many were sent. */
 const writeUntilFull = (answer: ReturnType<typeof createAnswer>["answer"]): number => {
   for (let index = 0; index < MAX_TOKENS; index += 1) {
     if (!answer.sink.onToken(index, " token", SOURCE)) return index + 1;
@@ -73,25 +73,25 @@
 };
 
 describe("createStreamedAnswer", () => {
-  it("asks to stop once its caller takes nothing, with bounded memory", async () => {
+  it("asks the relay to stop, with bounded memory, when the caller reads nothing", async () => {
     const response = await openResponse();
     const { answer } = createAnswer(response);
     expect(writeUntilFull(answer)).toBeLessThan(MAX_TOKENS);
     expect(response.writableLength).toBeLessThan(MAX_UNSENT_BYTES + EVENT_BYTES);
   });
 
-  it("cuts a caller that takes nothing for too long, and lets its generation be resumed", async () => {
+  it("disconnects a caller that reads nothing for too long, and ends as left", async () => {
     const response = await openResponse();
     const { clock, answer, overs } = createAnswer(response);
-    let left = 0;
-    answer.attach({ leave: () => (left += 1), setBlocked: () => undefined });
+    let leaveCalls = 0;
+    answer.attach({ leave: () => (leaveCalls += 1), setBlocked: () => undefined });
     writeUntilFull(answer);
     clock.advance((READER_IDLE_MS - 1) as Ms);
     expect(response.destroyed).toBe(false);
     const closed = new Promise((resolve) => response.on("close", resolve));
     clock.advance(1 as Ms);
     await closed;
-    expect(left).toBe(1);
+    expect(leaveCalls).toBe(1);
     expect(overs).toEqual([{ end: "left" }]);
   });
 });
--- a/packages/entry/src/streamedAnswer.ts
+++ b/packages/entry/src/streamedAnswer.ts
@@ -28,24 +28,29 @@
 };
 const DONE = "data: [DONE]\n\n";
 
-/** What a streamed answer needs. */
+/** Options of a streamed answer. */
 export type StreamedAnswerOptions = Readonly<{
   deps: EntryDeps;
   response: ServerResponse;
   kind: GenerationInterface;
   ask: GenerationAsk;
   workspace: WorkspaceName;
+  /** Whether the caller resumes an earlier answer; the opening event is then left out. */
   isContinued: boolean;
+  /** Called once when the answer is over. */
   onOver: (over: AnswerOver) => void;
 }>;
 
+/** State of a stream that has begun. */
 type OpenSource = Readonly<{
   format: AnswerFormat;
+  /** The signed part of the resume tokens. */
   signedClaim: string;
+  /** When `signedClaim` is signed again, on the monotonic clock. */
   renewAt: number;
 }>;
 
-/** Creates the answer; nothing is sent before the first token or the failure. */
+/** Creates the answer; nothing is sent before the first token, the end or a failure. */
 export const createStreamedAnswer = (options: StreamedAnswerOptions): Answer => {
   const { deps, response, ask } = options;
   const { clock, metrics } = deps;
@@ -63,7 +68,7 @@
 
   const signSource = (source: TokenSource): string => {
     const [key] = deps.resumeKeys;
-    if (!key) throw new TypeError("settings give at least one resume key");
+    if (!key) throw new TypeError("the settings must contain at least one resume key");
     const expiresAt = (clock.now() + RESUME_TOKEN_LIFE_MS) as Ms;
     return signResumeClaim(key, { ...source, workspace: options.workspace, expiresAt });
   };
@@ -95,7 +100,7 @@
     return open;
   };
 
-  /** Makes the failure the stream's last event. */
+  /** Sends the failure as the last event of the stream. */
   const endWithError = (failure: ApiFailure): ApiError => {
     const error = describeFailure(failure);
     metrics.refusals.inc({ code: error.code });
@@ -112,7 +117,7 @@
 
   const control = createAnswerControl({ isOver: () => isOver, fail });
 
-  const watchReader = () => {
+  const startIdleTimer = () => {
     isBlocked = true;
     idleTimer ??= clock.setTimer(READER_IDLE_MS, () => response.destroy());
   };
@@ -134,9 +139,11 @@
     onToken: (index, text, source) => {
       const { format, signedClaim } = getOpen(source);
       const id = formatResumeToken(signedClaim, index + 1);
-      const hasRoom = response.write(`id: ${id}\ndata: ${format.renderToken(text)}\n\n`);
-      if (hasRoom || response.writableLength < MAX_UNSENT_BYTES) return true;
-      watchReader();
+      const isWritable = response.write(
+        `id: ${id}\ndata: ${format.renderToken(text)}\n\n`,
+      );
+      if (isWritable || response.writableLength < MAX_UNSENT_BYTES) return true;
+      startIdleTimer();
       return false;
     },
     onDiscard: () => undefined,
@@ -150,5 +157,5 @@
     onFailed: (failure) => fail({ kind: "stream_failed", failure }),
   };
 
-  return { sink, attach: control.attach, sendAway: control.sendAway };
+  return { sink, attach: control.attach, endForResume: control.endForResume };
 };
--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -1,4 +1,4 @@
-/** What the callers' interface is made of. */
+/** Types of the HTTP API for callers. */
 import type { BundleIndex, Workspace } from "@stairgauge/bundle";
 import type { OnceGuard } from "@stairgauge/claims";
 import type { Clock, Random } from "@stairgauge/common";
@@ -10,7 +10,7 @@
 import type { ResumeKey } from "@stairgauge/streams";
 import type { Logger, Metrics } from "@stairgauge/telemetry";
 
-/** Dependencies of the callers' interface. */
+/** Dependencies of the HTTP API. */
 export type EntryDeps = Readonly<{
   clock: Clock;
   random: Random;
@@ -20,31 +20,32 @@
   services: ServiceClient;
   serviceRouter: ServiceRouter;
   onceGuard: OnceGuard;
-  /** The bundle in force, once there is one. */
+  /** The bundle in force; undefined before the first one. */
   getIndex: () => BundleIndex | undefined;
-  /** The first signs, all verify. */
+  /** Keys of resume tokens: the first one signs, all of them verify. */
   resumeKeys: readonly ResumeKey[];
   bodyLimits: BodyLimits;
-  /** Serves HTTPS where given. */
+  /** Certificate for HTTPS; undefined serves plain HTTP. */
   tls?: TlsIdentity | undefined;
-  /** Open answers, so that a stop can wait for them. */
+  /** Open answers, so that a planned stop can wait for them. */
   answers: AnswerRegistry;
 }>;
 
-/** A caller who was recognised, and the rules that its request keeps. */
+/** An authenticated caller, and the bundle that applies to its request until the end. */
 export type Caller = Readonly<{ workspace: Workspace; index: BundleIndex }>;
 
-/** An answer that is under way. */
+/** An answer that is not over. */
 export type OpenAnswer = Readonly<{
-  /** Tells the caller to go on elsewhere, and ends the answer here. */
-  sendAway: () => void;
+  /** Ends the answer with an error that asks the caller to resume on another box. */
+  endForResume: () => void;
 }>;
 
 /** How an answer to a generation ended. */
 export type AnswerOver = Readonly<
-  /** `body` is the whole answer's, where it was not streamed. */
+  /** `body` is the answer's JSON; undefined if it was streamed. */
   | { end: "whole"; body: string | undefined }
   | { end: "failed"; outcome: Outcome }
+  /** The caller's connection closed. */
   | { end: "left" }
 >;
 
@@ -52,18 +53,19 @@
 export type Answer = OpenAnswer &
   Readonly<{
     sink: AnswerSink;
-    /** Hands over the run once it has begun. */
+    /** Sets the run that the answer controls. */
     attach: (run: RunHandle) => void;
   }>;
 
-/** The answers under way on this box. */
+/** The open answers of this box. */
 export type AnswerRegistry = Readonly<{
   add: (answer: OpenAnswer) => void;
   remove: (answer: OpenAnswer) => void;
   count: () => number;
+  /** Calls `endForResume` of every open answer. */
   sendAllAway: () => void;
-  /** Whether the box takes new requests. */
+  /** Whether the box accepts new requests. */
   isOpen: () => boolean;
-  /** Takes no new requests from now on; resolves once no answer is under way. */
+  /** Refuses new requests from now on; resolves once no answer is open. */
   closeAndWait: () => Promise<void>;
 }>;
--- a/packages/entry/src/wholeAnswer.ts
+++ b/packages/entry/src/wholeAnswer.ts
@@ -1,4 +1,4 @@
-/** Collects a generation and sends it to its caller whole. */
+/** Collects the tokens of a generation and sends them to the caller in one response. */
 import type { ServerResponse } from "node:http";
 import { sendJson } from "@stairgauge/http";
 import type { AnswerSink } from "@stairgauge/relay";
@@ -8,17 +8,18 @@
 import type { GenerationInterface } from "./parseGeneration.js";
 import type { Answer, AnswerOver, EntryDeps } from "./types.js";
 
-/** What a whole answer needs. */
+/** Options of a whole answer. */
 export type WholeAnswerOptions = Readonly<{
   deps: EntryDeps;
   response: ServerResponse;
   kind: GenerationInterface;
   /** Name of the model as the caller gave it. */
   model: string;
+  /** Called once when the answer is over. */
   onOver: (over: AnswerOver) => void;
 }>;
 
-/** Creates the answer; its size is bounded by the request's most tokens. */
+/** Creates the answer. Its memory is bounded by the request's max tokens. */
 export const createWholeAnswer = (options: WholeAnswerOptions): Answer => {
   const { deps, response } = options;
   let texts: string[] = [];
@@ -59,5 +60,5 @@
     onFailed: (failure) => fail({ kind: "stream_failed", failure }),
   };
 
-  return { sink, attach: control.attach, sendAway: control.sendAway };
+  return { sink, attach: control.attach, endForResume: control.endForResume };
 };
