--- a/packages/decisions/src/boxSummary.ts
+++ b/packages/decisions/src/boxSummary.ts
@@ -1,12 +1,12 @@
-/** Sums up, over all engines, how this box's streams grow and how many others there are. */
+/** Summary over all engines: expected growth of this box's streams, and the share of other boxes. */
 import type { Ms } from "@stairgauge/common";
 import type { BoxSummary, EngineView } from "./engineView.js";
 import { HORIZONS } from "./memoryForecast.js";
 
-/** Growth assumed while a box has no streams of its own to judge by. */
+/** Growth of memory at every horizon, as a factor, assumed while this box has no streams. */
 const DEFAULT_GROWTH = 1.1;
 
-/** Computes the summary. */
+/** Computes the summary. `ownTokensPerMs`: prompt tokens that this box places per millisecond. */
 export const computeBoxSummary = (
   views: Iterable<EngineView>,
   ownTokensPerMs: number,
@@ -27,10 +27,10 @@
       spread[h]! += variance[h]!;
     }
   }
-  const held = growth[0]!;
+  const tokensNow = growth[0]!;
   for (let h = 0; h < HORIZONS.length; h += 1) {
-    growth[h] = held > 0 ? growth[h]! / held : DEFAULT_GROWTH;
-    spread[h] = held > 0 ? spread[h]! / held : 0;
+    growth[h] = tokensNow > 0 ? growth[h]! / tokensNow : DEFAULT_GROWTH;
+    spread[h] = tokensNow > 0 ? spread[h]! / tokensNow : 0;
   }
   const othersPerOwn = ownStreams > 0 ? otherStreams / ownStreams : 0;
   const othersTokensPerMs = engines > 0 ? (ownTokensPerMs * othersPerOwn) / engines : 0;
