--- a/apps/box/src/serverLimitChanges.test.ts
+++ b/apps/box/src/serverLimitChanges.test.ts
@@ -1,6 +1,7 @@
 /**
- * A limit that begins under load, is heard by a box that starts anew, is named in some answers only, and ends. The users count what
- * came in the last 4 s also from before a box was told, and a server takes everything again once it says so.
+ * Limits that begin under load, apply while a new box starts, are announced in some answers
+ * only, and end. The rule counts requests of the last 4 s, including those from before a box
+ * was informed, and a server without a limit takes everything again.
  */
 import { describe, expect, it } from "vitest";
 import { waitMs } from "./box.testkit.js";
@@ -14,19 +15,24 @@
   COUNTED_MS,
   listCounted,
   REFUSED,
-  startSignSite,
-  type SignCase,
-} from "./signSite.testkit.js";
+  startSignalSite,
+  type SignalCase,
+} from "./signalSite.testkit.js";
 
-/** What is asked of the server in need. */
+/** Limit of the server in requests per second. */
 const PER_SECOND = 1.7;
 
-/** Three boxes that are asked for much more than one server in need takes. */
-const THREE_BOXES: SignCase = { path: "/once/", kind: "plain", boxes: 3, perSecond: 60 };
+/** Load of three boxes that exceeds the limit by far. */
+const THREE_BOXES: SignalCase = {
+  path: "/once/",
+  kind: "plain",
+  boxes: 3,
+  perSecond: 60,
+};
 
 describe("a limit that changes", () => {
-  it("gets no more than it allows where it had three times as much before it named it", async () => {
-    const { servers, setNaming, sendFor } = await startSignSite({
+  it("is kept although three times as much came before it was announced", async () => {
+    const { servers, setNaming, sendFor } = await startSignalSite({
       path: "/once/",
       kind: "plain",
       boxes: 7,
@@ -40,20 +46,20 @@
     expect(await collectAnswers([...before, ...sent])).not.toContain(REFUSED);
   });
 
-  it("gets no more than it allows while a box starts anew beside the others", async () => {
-    const { servers, setNaming, sendFor, addBox } = await startSignSite(THREE_BOXES);
+  it("is kept while a new box starts beside the others", async () => {
+    const { servers, setNaming, sendFor, addBox } = await startSignalSite(THREE_BOXES);
     setNaming(() => String(PER_SECOND), 0);
     await sendFor(LIMIT_CONTACT_MS + 1_000);
     const { lines } = await addBox();
     await sendFor(COUNTED_MS);
     const most = countMostFromTold(listCounted(servers.listArrivals(0)));
     expect(most).toBeLessThanOrEqual(computeAllowed(PER_SECOND));
-    const told = lines.find(({ event }) => event === "server_limit_named");
-    expect(told).toMatchObject({ perSecond: PER_SECOND });
+    const named = lines.find(({ event }) => event === "server_limit_named");
+    expect(named).toMatchObject({ perSecond: PER_SECOND });
   });
 
-  it("gets no more than it allows where it names it in every second answer, and what is no limit in others", async () => {
-    const { servers, fleet, setNaming, sendFor } = await startSignSite(THREE_BOXES);
+  it("is kept if it is announced in some answers only, and others contain an invalid limit", async () => {
+    const { servers, fleet, setNaming, sendFor } = await startSignalSite(THREE_BOXES);
     setNaming((answer) => [String(PER_SECOND), undefined, "1.7, 1.9"][answer % 3], 0);
     await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
     const most = countMostFromTold(listCounted(servers.listArrivals(0)));
@@ -63,15 +69,15 @@
     expect(lines.some(({ event }) => event === "server_limit_lifted")).toBe(false);
   });
 
-  it("gets what comes again once it no longer names it, and all boxes say so", async () => {
-    const { servers, fleet, setNaming, sendFor } = await startSignSite(THREE_BOXES);
+  it("ends once it is no longer announced, and all boxes log that", async () => {
+    const { servers, fleet, setNaming, sendFor } = await startSignalSite(THREE_BOXES);
     setNaming(() => "3", 0);
     await sendFor(LIMIT_CONTACT_MS);
     setNaming(() => undefined, 0);
     await sendFor(4_000);
     const before = servers.listArrivals(0).length;
     const sent = await sendFor(2_000);
-    // A quarter of what is sent would be its part; three a second was its limit.
+    // The server's share would be a quarter of the requests; its limit was three per second.
     const arrived = servers.listArrivals(0).length - before;
     expect(arrived).toBeGreaterThan(sent.length / 10);
     await waitMs(50);
--- a/apps/box/src/serverLimits.test.ts
+++ b/apps/box/src/serverLimits.test.ts
@@ -1,7 +1,8 @@
 /**
- * Two of four plain servers named in their answers how many requests a second they take from all boxes together, 1.7 and 1.9. No
- * box read it: 3 s later one had got 23 requests in 4 s where 15 are allowed, 13 of them from one box that stands beside it, all of
- * them first tries. Boxes wrote `placed` and `answered` lines as before and after; none named a limit.
+ * Guards against ignoring the limits in servers' answers, in requests per second from all boxes
+ * together. Two of four servers announced 1.7 and 1.9; 3 s later one had got 23 requests in 4 s
+ * where 15 are allowed, 13 of them from one box, all first attempts. The log lines named no
+ * limit:
  *
  *   {"box":"edge-rennes-b-1","request":"4aff","server":"i-8d15","afterMs":32,"status":200,"event":"answered"}
  *   {"box":"edge-rennes-b-2","request":"3787","server":"i-8d15","afterMs":21,"status":200,"event":"answered"}
@@ -15,14 +16,14 @@
 import {
   collectAnswers,
   COUNTED_MS,
-  type SignCase,
+  type SignalCase,
   listCounted,
   REFUSED,
-  startSignSite,
-} from "./signSite.testkit.js";
+  startSignalSite,
+} from "./signalSite.testkit.js";
 
-describe("a server that names a limit", () => {
-  it.each<[string, SignCase, number]>([
+describe("a server that announces a limit", () => {
+  it.each<[string, SignalCase, number]>([
     ["plain, 3 boxes", { path: "/once/", kind: "plain", boxes: 3, perSecond: 60 }, 1.7],
     ["plain, 7 boxes", { path: "/again/", kind: "plain", boxes: 7, perSecond: 60 }, 1.9],
     [
@@ -35,13 +36,13 @@
       { path: "/once/", kind: "plain", boxes: 30, perSecond: 100 },
       0.5,
     ],
-  ])("gets no more than it allows: %s", async (_, signCase, perSecond) => {
-    const { servers, setNaming, sendFor } = await startSignSite(signCase);
+  ])("gets no more requests than it allows: %s", async (_, signalCase, perSecond) => {
+    const { servers, setNaming, sendFor } = await startSignalSite(signalCase);
     setNaming(() => String(perSecond), 0);
     const sent = await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
     const most = countMostFromTold(listCounted(servers.listArrivals(0)));
     expect(most).toBeLessThanOrEqual(computeAllowed(perSecond));
-    // The others take the rest: nobody is refused.
+    // The other servers take the remaining requests, so none is refused.
     expect(await collectAnswers(sent)).not.toContain(REFUSED);
   });
 });
--- a/apps/box/src/signSite.testkit.ts
+++ b/apps/box/src/signalSite.testkit.ts
@@ -1,4 +1,7 @@
-/** Boxes before servers that say something of themselves in their answers: what the tests of such servers share. */
+/**
+ * Test helpers that start boxes in front of servers which send signals (leaving, limit,
+ * backoff) in their answers.
+ */
 import {
   startSignServers,
   startUsersSite,
@@ -24,22 +27,25 @@
 
 const SERVERS = 4;
 
-/** Status of a request that is refused, not run. A busy machine may also be late with one, which is something else. */
+/**
+ * Status of a request that is refused without being run. A late answer on a busy machine has
+ * another status.
+ */
 export const REFUSED = 503;
 
 const ENDS: ReadonlySet<unknown> = new Set(["refused", "answered"]);
 
-/** What is asked for, and how often. */
-export type SignCase = Readonly<{
+/** The requested route, the kind of its servers, and the load. */
+export type SignalCase = Readonly<{
   path: string;
   kind: SignServerKind;
   boxes: number;
-  /** Requests a second, spread over the boxes. */
+  /** Requests per second over all boxes. */
   perSecond: number;
   changes?: BoxChanges;
 }>;
 
-/** A request that was sent, and what became of it. */
+/** A request that was sent, and its answer. */
 export type SentRequest = Readonly<{
   id: string;
   box: number;
@@ -47,17 +53,20 @@
   answer: Promise<Answer>;
 }>;
 
-/** Which box sent a request stands in its id. */
+/** The request id contains the index of the box that sends it. */
 const formatRequestId = (box: number, sequence: number) => `${box}-${sequence}`;
 const findSender = ({ request }: SignArrival) => Number(request.split("-")[0]);
 
-/** The requests that a server got, with the boxes that sent them. */
+/** Adds to a server's requests the boxes that sent them. */
 export const listCounted = (
   arrivals: readonly SignArrival[],
 ): readonly (CountedArrival & SignArrival)[] =>
   arrivals.map((arrival) => ({ ...arrival, box: findSender(arrival) }));
 
-/** The same, with the times at which clients sent them. */
+/**
+ * Adds to a server's requests the boxes that sent them and the times at which clients sent
+ * them.
+ */
 export const listWithSending = (
   arrivals: readonly SignArrival[],
   sent: readonly SentRequest[],
@@ -69,10 +78,13 @@
   }));
 };
 
-/** Why boxes refuse for want of a connection to a server: each has its part of them, which a full machine keeps taken for seconds. */
+/**
+ * Reason for which a box refuses if it has no connection to a server left. Each box has a share
+ * of the connections, which a busy machine may keep occupied for seconds.
+ */
 const NO_CONNECTION_LEFT = "no_server_known";
 
-/** Lines of all boxes about the requests. */
+/** Lists the log lines of all boxes about the requests. */
 export const listLinesOf = (
   fleet: readonly FleetBox[],
   sent: readonly SentRequest[],
@@ -81,18 +93,21 @@
   return fleet.flatMap(({ lines }) => lines).filter(({ request }) => ids.has(request));
 };
 
-/** Reasons and statuses by which requests were turned away, by the boxes or by servers; a full machine's doing is left out. */
+/**
+ * Lists the reasons and statuses with which boxes or servers refused requests, without refusals
+ * that are due to a busy machine.
+ */
 export const listTurnedAway = (fleet: readonly FleetBox[]): readonly unknown[] =>
   listTurnedAwayIn(fleet.flatMap(({ lines }) => lines));
 
-/** The same, of some lines. */
+/** Lists them from the given lines. */
 export const listTurnedAwayIn = (lines: readonly Line[]): readonly unknown[] =>
   lines
     .filter(({ event, status }) => ENDS.has(event) && status === REFUSED)
     .map(({ event, reason }) => (event === "refused" ? reason : REFUSED))
     .filter((reason) => reason !== NO_CONNECTION_LEFT);
 
-/** Servers that the boxes give nothing more to. */
+/** Lists the servers that the boxes have marked as leaving. */
 export const listLeaving = (fleet: readonly FleetBox[]): ReadonlySet<unknown> =>
   new Set(
     fleet
@@ -101,7 +116,7 @@
       .map(({ server }) => server),
   );
 
-/** Gives the statuses of all answers. */
+/** Waits for all answers and returns their statuses. */
 export const collectAnswers = async (
   sent: readonly SentRequest[],
 ): Promise<ReadonlySet<number>> => {
@@ -109,31 +124,31 @@
   return new Set(answers.map(({ status }) => status));
 };
 
-/** Time through which windows are counted. */
+/** Time in ms over which requests are counted. */
 export const COUNTED_MS = 6_000;
 
-/** A site with its servers and boxes, and the hands of a test on them. */
-export type SignSite = Readonly<{
+/** A site with its servers and boxes, and functions that control them. */
+export type SignalSite = Readonly<{
   site: UsersSite;
   servers: SignServers;
   fleet: FleetBox[];
-  /** Sends requests to the boxes in turn for so long, in ms. */
+  /** Sends requests to the boxes in turn for a duration in ms. */
   sendFor: (duration: number) => Promise<readonly SentRequest[]>;
-  /** From now on the servers name this limit. */
+  /** Makes the servers announce this limit. */
   setNaming: (naming: LimitNaming, ...which: readonly number[]) => void;
-  /** From now on the servers say this in their answers. */
+  /** Makes the servers send these signals in their answers. */
   setSaying: (choose: SayingChoice, ...which: readonly number[]) => void;
   addBox: () => Promise<FleetBox>;
 }>;
 
-/** Starts four servers, and as many boxes as asked for, which know each other. */
-export const startSignSite = async ({
+/** Starts four servers and the boxes, and waits until the boxes are linked. */
+export const startSignalSite = async ({
   path,
   kind,
   boxes,
   perSecond,
   changes = {},
-}: SignCase): Promise<SignSite> => {
+}: SignalCase): Promise<SignalSite> => {
   const site = await startUsersSite({ engines: 0, services: 0 });
   closers.push(site.close);
   const servers = await startSignServers({
@@ -160,7 +175,7 @@
     const answer = ask(fleet[box]!.ports, { path: `${path}${id}`, id, headers });
     return { id, box, sentAt: performance.now(), answer };
   };
-  const sendFor: SignSite["sendFor"] = async (duration) => {
+  const sendFor: SignalSite["sendFor"] = async (duration) => {
     const begunAt = performance.now();
     const sent: SentRequest[] = [];
     while (performance.now() < begunAt + duration) {
@@ -170,10 +185,10 @@
     }
     return sent;
   };
-  const setNaming: SignSite["setNaming"] = (naming, ...which) => {
+  const setNaming: SignalSite["setNaming"] = (naming, ...which) => {
     for (const server of which) servers.setNaming(server, naming);
   };
-  const setSaying: SignSite["setSaying"] = (choose, ...which) => {
+  const setSaying: SignalSite["setSaying"] = (choose, ...which) => {
     for (const server of which) servers.setSaying(server, choose);
   };
   const addBox = async () => {
--- a/apps/box/src/smallServers.ts
+++ b/apps/box/src/smallServers.ts
@@ -1,10 +1,10 @@
-/** The listeners beside that for clients: whether the box is ready, and its metrics. */
+/** Listeners for readiness checks and for metrics. */
 import { createServer, type Server } from "node:http";
 import { toHostAndPort } from "@stairgauge/common";
 import { READY_PATH } from "@stairgauge/platform";
 import type { BoxMetrics } from "@stairgauge/telemetry";
 
-/** Answers the platform's balancer. */
+/** Answers the readiness checks of the platform's load balancer. */
 export const createReadyServer = (isReady: () => boolean): Server =>
   createServer((incoming, response) => {
     const isAsked = incoming.url === READY_PATH;
@@ -12,7 +12,6 @@
     response.end();
   });
 
-/** Answers with all metrics as text. */
 export const createMetricsServer = ({ registry }: BoxMetrics): Server =>
   createServer((_incoming, response) => {
     void registry.metrics().then((text) => {
@@ -21,7 +20,10 @@
     });
   });
 
-/** Listens on an address; resolves to the port, which the system picks where the address names 0. */
+/**
+ * Listens on an address. Resolves to the port, which the system picks if the address has port
+ * 0.
+ */
 export const listenOn = (server: Server, address: string): Promise<number> =>
   new Promise((resolve, reject) => {
     const { host, port } = toHostAndPort(address);
--- a/apps/box/src/startFile.test.ts
+++ b/apps/box/src/startFile.test.ts
@@ -1,4 +1,7 @@
-/** The program that the users' platform starts: built as deploy/system.toml says, and started with its words. */
+/**
+ * The program that the platform starts, built and started with the commands of
+ * deploy/system.toml.
+ */
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -7,12 +10,12 @@
 import { formatBoxSettings } from "@stairgauge/standins";
 
 const DEPLOYMENT = readFileSync("deploy/system.toml", "utf8");
-/** No store answers there: a box starts all the same, and is not ready. */
+/** Address without a store. A box starts without one, and is not ready. */
 const NO_STORE = "127.0.0.1:1";
 const FIRST_PORT = 18_700;
 
-/** Words behind `node` in the command whose script has the name given. */
-const findWords = (script: RegExp): readonly string[] => {
+/** Finds the arguments after `node` in the command that runs the script. */
+const findArguments = (script: RegExp): readonly string[] => {
   const match = new RegExp(`node ((?:--\\S+ )*\\S*${script.source})`).exec(DEPLOYMENT);
   if (!match) throw new TypeError(`deploy/system.toml starts no ${script.source}`);
   return match[1]!.split(" ");
@@ -29,13 +32,13 @@
       settings,
       formatBoxSettings({ name: "box-1", storeAddress: NO_STORE, firstPort: FIRST_PORT }),
     );
-    const build = spawnProcess(findWords(/deploy\/build\.js/));
+    const build = spawnProcess(findArguments(/deploy\/build\.js/));
     expect(await build.waitForExit()).toBe(0);
   });
   afterAll(() => rmSync(folder, { recursive: true }));
 
-  const start = async (words: readonly string[]) => {
-    const box = spawnProcess([...words, "--settings", settings]);
+  const start = async (args: readonly string[]) => {
+    const box = spawnProcess([...args, "--settings", settings]);
     const [line] = await box.waitForLine(/.*"event":"starting".*/);
     await box.waitForLine(/"event":"started"/);
     box.kill("SIGKILL");
@@ -43,12 +46,12 @@
     return (JSON.parse(line) as { keptCode: string }).keptCode;
   };
 
-  it("uses the machine code that its build kept", async () => {
-    expect(await start(findWords(/target\/stairgauged\.cjs/))).toBe("used");
+  it("uses the code cache that the build stored", async () => {
+    expect(await start(findArguments(/target\/stairgauged\.cjs/))).toBe("used");
   });
 
-  it("starts without it where the runtime refuses it, and says so", async () => {
-    const script = findWords(/target\/stairgauged\.cjs/).at(-1)!;
+  it("starts without the code cache if the runtime rejects it, and logs that", async () => {
+    const script = findArguments(/target\/stairgauged\.cjs/).at(-1)!;
     expect(await start(["--no-opt", script])).toBe("refused");
   });
 });
--- a/apps/box/src/stopInOrder.test.ts
+++ b/apps/box/src/stopInOrder.test.ts
@@ -1,12 +1,13 @@
 /**
- * A box that was told to stop had nothing open 3.5 s later and took its row out of the list of boxes, which takes a call to the
- * store. A request that came on a kept connection meanwhile was read and sent on; its server ended it 20 ms later, and 1 ms after
- * that the box closed all connections: nobody asked again whether anything was open.
+ * Guards against cutting off a request that arrives during a shutdown. When nothing is open the
+ * box removes its row from the list of boxes, which takes a call to the store. A request that
+ * arrives on a kept connection during this call is sent to a server; if the box doesn't check
+ * again for open requests, it closes the client's connection without an answer:
  *
  *   25.100 s  the box gets SIGTERM
  *   28.623 s  a request is sent to it, and reaches a server at 28.628 s
  *   28.648 s  its run ends: 200 ok
- *   28.649 s  the connection is closed with no answer
+ *   28.649 s  the connection is closed without an answer
  */
 import { describe, expect, it } from "vitest";
 import { advanceSettled, createVirtualClock, type Ms } from "@stairgauge/common";
@@ -18,8 +19,8 @@
 const setUp = (grace = GRACE_MS) => {
   const clock = createVirtualClock();
   const open = new Set<string>();
-  const happened: string[] = [];
-  const record = (what: string) => happened.push(`${what} ${clock.monotonic()}`);
+  const recorded: string[] = [];
+  const record = (what: string) => recorded.push(`${what} ${clock.monotonic()}`);
   const serve = (name: string, from: number, to: number) => {
     clock.setTimer(from as Ms, () => open.add(name));
     clock.setTimer(to as Ms, () => open.delete(name));
@@ -35,30 +36,30 @@
       record(`ends with ${open.size} open,`),
     );
   };
-  return { clock, happened, serve, start };
+  return { clock, recorded, serve, start };
 };
 
 describe("a box that stops", () => {
-  it("serves what came while it left the list of boxes", async () => {
-    const { clock, happened, serve, start } = setUp();
+  it("serves a request that arrives while it leaves the list of boxes", async () => {
+    const { clock, recorded, serve, start } = setUp();
     serve("r", 3_505, 3_530);
     start();
     await advanceSettled(clock, 5_000 as Ms);
-    expect(happened).toEqual(["leaves 3500", "ends with 0 open, 3612"]);
+    expect(recorded).toEqual(["leaves 3500", "ends with 0 open, 3612"]);
   });
 
-  it("ends as soon as it has left where nothing came", async () => {
-    const { clock, happened, start } = setUp();
+  it("stops as soon as it has left the list if no request arrives", async () => {
+    const { clock, recorded, start } = setUp();
     start();
     await advanceSettled(clock, 5_000 as Ms);
-    expect(happened).toEqual(["leaves 3500", "ends with 0 open, 3512"]);
+    expect(recorded).toEqual(["leaves 3500", "ends with 0 open, 3512"]);
   });
 
-  it("ends before it would be killed, whatever is open", async () => {
-    const { clock, happened, serve, start } = setUp();
+  it("stops before it would be killed, even if requests are open", async () => {
+    const { clock, recorded, serve, start } = setUp();
     serve("r", 3_000, 60_000);
     start();
     await advanceSettled(clock, 9_000 as Ms);
-    expect(happened).toEqual(["leaves 7800", "ends with 1 open, 7812"]);
+    expect(recorded).toEqual(["leaves 7800", "ends with 1 open, 7812"]);
   });
 });
--- a/apps/box/src/storeDrill.testkit.ts
+++ b/apps/box/src/storeDrill.testkit.ts
@@ -1,19 +1,22 @@
-/** Drills of the store: it is away for a moment and comes back from a copy of some time before. */
+/** Simulates outages of the store after which it is restored from an older copy. */
 import type { UsersSite } from "@stairgauge/standins";
 import { waitMs, type BoxChanges } from "./box.testkit.js";
-import type { SignSite } from "./signSite.testkit.js";
+import type { SignalSite } from "./signalSite.testkit.js";
 
-/** Shorter pauses hide what repeated reads take, and shorter patience ends calls that a full machine holds up. */
-export const OWN_TIMES: BoxChanges = { hasOwnTimes: true };
+/**
+ * Production times: shorter pauses hide the cost of repeated reads, and shorter patience ends
+ * calls that a busy machine delays.
+ */
+export const PRODUCTION_TIMES: BoxChanges = { hasProductionTimes: true };
 
-/** How a drill goes. */
+/** Course of an outage. */
 export type Drill = Readonly<{
-  /** How long the store is away; 0 where only its connections are cut. */
+  /** Duration of the outage in ms; 0 if connections are only cut. */
   awayMs: number;
   mode: "reset" | "silent";
-  /** Versions given out after the copy was made, and lost with it. */
+  /** Number of versions written after the copy and lost with the restore. */
   lostVersions: number;
-  /** Versions given out between the return and the first answer. */
+  /** Number of versions written between the restore and the first answer. */
   regainedVersions: number;
 }>;
 
@@ -24,25 +27,25 @@
   regainedVersions: 0,
 };
 
-/** Time in which boxes hear of a change. */
-const HEARD_MS = 700;
+/** Time in ms in which boxes read a change. */
+const PROPAGATION_MS = 700;
 
-/** What happens after the copy was made, and is lost with it. */
+/** Changes that are made after the copy, and lost with the restore. */
 export type LostWork = (site: UsersSite) => void;
 
-/** Plays a drill through to the store's return. */
+/** Runs an outage up to the store's return. */
 export const runDrill = async (
-  { site }: Pick<SignSite, "site">,
+  { site }: Pick<SignalSite, "site">,
   drill: Drill = DRILL,
   doLostWork: LostWork = () => undefined,
 ): Promise<void> => {
   const { store } = site;
   const copy = store.copy();
   store.spendVersions(drill.lostVersions);
-  // A change of the configuration shows the boxes how far the versions have come.
+  // The change of the configuration makes the boxes read the new versions.
   site.putConfiguration();
   doLostWork(site);
-  await waitMs(HEARD_MS);
+  await waitMs(PROPAGATION_MS);
   if (drill.awayMs > 0) store.setMode(drill.mode);
   await waitMs(drill.awayMs);
   store.restore(copy);
--- a/apps/box/src/storeRestored.test.ts
+++ b/apps/box/src/storeRestored.test.ts
@@ -1,11 +1,14 @@
-/** Boxes before a store that comes back from a copy: versions went back and are given out again. */
+/**
+ * Boxes in front of a store that is restored from a copy, so that versions go back and are
+ * assigned again.
+ */
 import { describe, expect, it } from "vitest";
 import { BOX_TABLE, STATE_LEAVING, TABLE } from "@stairgauge/platform";
 import { LEAVING_MS, SITE_HALL, startUsersSite } from "@stairgauge/standins";
 import {
   ask,
   closers,
-  FULL_MACHINE_MS,
+  BUSY_MACHINE_TIMEOUT_MS,
   startSite,
   waitFor,
   waitMs,
@@ -17,32 +20,35 @@
   listTurnedAway,
   listTurnedAwayIn,
   listWithSending,
-  startSignSite,
-  type SignCase,
-  type SignSite,
-} from "./signSite.testkit.js";
-import { DRILL, runDrill, OWN_TIMES, type Drill } from "./storeDrill.testkit.js";
+  startSignalSite,
+  type SignalCase,
+  type SignalSite,
+} from "./signalSite.testkit.js";
+import { DRILL, runDrill, PRODUCTION_TIMES, type Drill } from "./storeDrill.testkit.js";
 
-const PLAIN: SignCase = {
+const PLAIN: SignalCase = {
   path: "/once/",
   kind: "plain",
   boxes: 3,
   perSecond: 60,
-  changes: OWN_TIMES,
+  changes: PRODUCTION_TIMES,
 };
-const SEVEN: SignCase = { ...PLAIN, boxes: 7 };
-const MANY: SignCase = { ...PLAIN, boxes: 14, perSecond: 120 };
+const SEVEN: SignalCase = { ...PLAIN, boxes: 7 };
+const MANY: SignalCase = { ...PLAIN, boxes: 14, perSecond: 120 };
 
-/** From the store's return to what happens then. */
+/** Time in ms between the store's return and the next change. */
 const SETTLED_MS = 500;
 
-/** How long requests are sent beyond the bound. */
+/** Time in ms for which requests are sent after the bound. */
 const BEYOND_MS = 1_500;
 
-const LEFT = 0;
-const LEFT_NAME = "plain-0";
+const LEAVING_SERVER = 0;
+const LEAVING_SERVER_NAME = "plain-0";
 
-/** When the box had read the servers of the copy; until then it could not hear of what came after the return. */
+/**
+ * Time at which the box had read the servers of the copy; before that it couldn't read later
+ * changes.
+ */
 const findRestoredAt = ({ lines, getWrittenAt }: FleetBox): number => {
   const restored = lines.find(
     ({ event, table }) => event === "table_restored" && table === TABLE.servers,
@@ -50,38 +56,47 @@
   return restored ? getWrittenAt(restored) : -Infinity;
 };
 
-/** Whole reads that were passed over, by which a box would hear late of all that has happened. */
+/** Lists reads of whole tables that were ignored as stale; they would delay all changes. */
 const listStaleReads = (fleet: readonly FleetBox[]) =>
   fleet.flatMap(({ lines }) => lines).filter(({ event }) => event === "stale_read");
 
-/** Requests that the server got, sent by clients later than the bound after the time given. */
-const listLate = async ({ servers, fleet, sendFor }: SignSite, from: number) => {
+/**
+ * Lists the requests that reached the server although clients sent them later than the bound
+ * after `from`.
+ */
+const listLate = async ({ servers, fleet, sendFor }: SignalSite, from: number) => {
   const sent = await sendFor(LEAVING_MS + BEYOND_MS);
   await collectAnswers(sent);
-  const heardAt = fleet.map((box) => Math.max(from, findRestoredAt(box)));
+  const knownAt = fleet.map((box) => Math.max(from, findRestoredAt(box)));
   expect(listStaleReads(fleet)).toEqual([]);
-  return listWithSending(servers.listArrivals(LEFT), sent).filter(
-    ({ box, sentAt }) => sentAt > heardAt[box]! + LEAVING_MS,
+  return listWithSending(servers.listArrivals(LEAVING_SERVER), sent).filter(
+    ({ box, sentAt }) => sentAt > knownAt[box]! + LEAVING_MS,
   );
 };
 
-/** Sends requests for as long as in the other cases, of which none may reach the server: each box knew before the return. */
-const assertNothingArrives = async ({ servers, fleet, sendFor }: SignSite) => {
-  const before = servers.listArrivals(LEFT).length;
+/**
+ * Sends requests, of which none may reach the server, since each box had read before the
+ * store's return that it leaves.
+ */
+const assertNothingArrives = async ({ servers, fleet, sendFor }: SignalSite) => {
+  const before = servers.listArrivals(LEAVING_SERVER).length;
   await collectAnswers(await sendFor(LEAVING_MS + BEYOND_MS));
-  expect(servers.listArrivals(LEFT)).toHaveLength(before);
+  expect(servers.listArrivals(LEAVING_SERVER)).toHaveLength(before);
   expect(listStaleReads(fleet)).toEqual([]);
   expect(listTurnedAway(fleet)).toEqual([]);
 };
 
-/** A box that a full machine holds up knows too little for a moment to say that a key is unknown; it opens nothing either. */
-const CLOSED_REASONS: ReadonlySet<unknown> = new Set([
+/**
+ * Reasons with which requests with a removed key may be refused. A box that is held up by a
+ * busy machine refuses them since its configuration is too old.
+ */
+const KEY_REFUSAL_REASONS: ReadonlySet<unknown> = new Set([
   "key_unknown",
   "knowledge_too_old",
 ]);
 
-/** Sends requests with the key, of which all are to be refused for it. */
-const assertNothingOpened = async ({ servers, fleet, sendFor }: SignSite) => {
+/** Sends requests with the removed key and asserts that all are refused for it. */
+const assertKeyRefused = async ({ servers, fleet, sendFor }: SignalSite) => {
   const countArrivals = () =>
     [0, 1, 2, 3].reduce((sum, server) => sum + servers.listArrivals(server).length, 0);
   const before = countArrivals();
@@ -92,72 +107,74 @@
   const reasons = listLinesOf(fleet, sent)
     .filter(({ event }) => event === "refused")
     .map(({ reason }) => reason);
-  expect(reasons.filter((reason) => !CLOSED_REASONS.has(reason))).toEqual([]);
+  expect(reasons.filter((reason) => !KEY_REFUSAL_REASONS.has(reason))).toEqual([]);
 };
 
-const CASES: readonly (readonly [string, SignCase, Drill])[] = [
+const CASES: readonly (readonly [string, SignalCase, Drill])[] = [
   ["versions lower by 30", PLAIN, DRILL],
   ["versions lower by 2", PLAIN, { ...DRILL, lostVersions: 2 }],
-  ["only cut, 7 boxes", SEVEN, { ...DRILL, awayMs: 0 }],
+  ["connections only cut, 7 boxes", SEVEN, { ...DRILL, awayMs: 0 }],
   [
     "silent for 2 s, 14 boxes",
     MANY,
     { ...DRILL, awayMs: 2_000, mode: "silent", lostVersions: 200 },
   ],
-  ["versions caught up before a box asks", PLAIN, { ...DRILL, regainedVersions: 400 }],
+  ["versions caught up before a box reads", PLAIN, { ...DRILL, regainedVersions: 400 }],
 ];
 
-describe("a server that leaves after the store came back from a copy", () => {
+describe("a server that leaves after the store was restored from a copy", () => {
   it.each(CASES)(
-    "gets nothing later than the bound: %s",
-    async (_, signCase, drill) => {
-      const site = await startSignSite(signCase);
+    "gets no requests later than the bound: %s",
+    async (_, signalCase, drill) => {
+      const site = await startSignalSite(signalCase);
       await runDrill(site, drill);
       await waitMs(SETTLED_MS);
-      site.site.store.drop(TABLE.servers, LEFT_NAME);
+      site.site.store.drop(TABLE.servers, LEAVING_SERVER_NAME);
       expect(await listLate(site, performance.now())).toEqual([]);
       expect(listTurnedAway(site.fleet)).toEqual([]);
     },
-    FULL_MACHINE_MS,
+    BUSY_MACHINE_TIMEOUT_MS,
   );
 });
 
-describe("a key that is taken away after the store came back from a copy", () => {
+describe("a key that is removed after the store was restored from a copy", () => {
   it.each(CASES)(
-    "opens nothing later than the bound: %s",
-    async (_, signCase, drill) => {
-      const site = await startSignSite(signCase);
+    "is refused once the bound has passed: %s",
+    async (_, signalCase, drill) => {
+      const site = await startSignalSite(signalCase);
       await runDrill(site, drill);
       await waitMs(SETTLED_MS);
       site.site.putConfiguration({ tenants: [] });
       await waitMs(LEAVING_MS);
-      await assertNothingOpened(site);
+      await assertKeyRefused(site);
     },
-    FULL_MACHINE_MS,
+    BUSY_MACHINE_TIMEOUT_MS,
   );
 });
 
-describe("what boxes know, and the store's copy has not", () => {
-  it("stays gone: a server whose entry was dropped, and stands in the copy", async () => {
-    const site = await startSignSite(PLAIN);
-    await runDrill(site, DRILL, ({ store }) => store.drop(TABLE.servers, LEFT_NAME));
+describe("a change that boxes have read and the store's copy lacks", () => {
+  it("stays in effect: a server whose entry was dropped, but is in the copy", async () => {
+    const site = await startSignalSite(PLAIN);
+    await runDrill(site, DRILL, ({ store }) =>
+      store.drop(TABLE.servers, LEAVING_SERVER_NAME),
+    );
     await assertNothingArrives(site);
   });
 
-  it("stays leaving: a server whose entry said so, and says ready in the copy", async () => {
-    const site = await startSignSite(PLAIN);
+  it("stays in effect: a server whose entry said leaving, but says ready in the copy", async () => {
+    const site = await startSignalSite(PLAIN);
     await runDrill(site, DRILL, ({ store }) =>
-      store.change(TABLE.servers, LEFT_NAME, { state: STATE_LEAVING }),
+      store.change(TABLE.servers, LEAVING_SERVER_NAME, { state: STATE_LEAVING }),
     );
     await assertNothingArrives(site);
   });
 
-  it("stays closed: a data hall whose closing is not in the copy, until it is opened", async () => {
-    const site = await startSignSite(PLAIN);
+  it("stays in effect until it is revoked: a data hall that was closed, but is open in the copy", async () => {
+    const site = await startSignalSite(PLAIN);
     await runDrill(site, DRILL, ({ closeHall }) => closeHall(SITE_HALL));
-    const before = site.servers.listArrivals(LEFT).length;
+    const before = site.servers.listArrivals(LEAVING_SERVER).length;
     expect(await collectAnswers(await site.sendFor(BEYOND_MS))).toEqual(new Set([503]));
-    expect(site.servers.listArrivals(LEFT)).toHaveLength(before);
+    expect(site.servers.listArrivals(LEAVING_SERVER)).toHaveLength(before);
     site.site.closeHall(SITE_HALL);
     site.site.openHall(SITE_HALL);
     await waitFor(() =>
@@ -168,16 +185,16 @@
     expect(listTurnedAwayIn(listLinesOf(site.fleet, sent))).toEqual([]);
   });
 
-  it("stays removed: a key that a configuration took away, whose older one stands in the copy", async () => {
-    const site = await startSignSite(PLAIN);
+  it("stays in effect: a key that was removed, but is valid in the copy's configuration", async () => {
+    const site = await startSignalSite(PLAIN);
     await runDrill(site, DRILL, ({ putConfiguration }) =>
       putConfiguration({ tenants: [] }),
     );
     await waitMs(SETTLED_MS);
-    await assertNothingOpened(site);
+    await assertKeyRefused(site);
   });
 
-  it("is each other: boxes whose rows are lost go on telling each other, and put them again", async () => {
+  it("stays in effect: boxes whose rows are lost stay linked, and write their rows again", async () => {
     const site = await startUsersSite({ engines: 0, services: 1 });
     closers.push(site.close);
     site.putConfiguration();
@@ -186,13 +203,13 @@
       store: site.store.address,
       boxes: 3,
       servers: 1,
-      changes: OWN_TIMES,
+      changes: PRODUCTION_TIMES,
     });
-    const told = fleet.map(({ lines }) => lines.length);
+    const linesBefore = fleet.map(({ lines }) => lines.length);
     site.store.restore(copy);
     await waitFor(() => site.store.listKeys(BOX_TABLE).length === fleet.length);
     fleet.forEach(({ lines }, box) => {
-      const since = lines.slice(told[box]);
+      const since = lines.slice(linesBefore[box]);
       expect(since.filter(({ event }) => event === "peer_lost")).toEqual([]);
       const links = since
         .filter(({ event }) => event === "peers")
@@ -203,8 +220,8 @@
 });
 
 describe("a box that starts on the store's copy", () => {
-  /** Starts a box and sends it requests once it is linked to the others. */
-  const askNewBox = async ({ addBox }: SignSite) => {
+  /** Starts a box, waits until it is linked to the others, and sends it requests. */
+  const askNewBox = async ({ addBox }: SignalSite) => {
     const { ports, lines } = await addBox();
     await waitFor(() => lines.some((line) => line.event === "peers" && line.links === 3));
     await waitMs(SETTLED_MS);
@@ -214,8 +231,8 @@
     return new Set(answers.map(({ status }) => status));
   };
 
-  it("opens nothing to a key that the others know to be gone", async () => {
-    const site = await startSignSite(PLAIN);
+  it("refuses a key that the other boxes have read as removed", async () => {
+    const site = await startSignalSite(PLAIN);
     await runDrill(site, DRILL, ({ putConfiguration }) =>
       putConfiguration({ tenants: [] }),
     );
@@ -224,19 +241,21 @@
     expect(statuses).not.toContain(200);
   });
 
-  it("sends nothing to a server that the others know to be gone", async () => {
-    const site = await startSignSite(PLAIN);
-    await runDrill(site, DRILL, ({ store }) => store.drop(TABLE.servers, LEFT_NAME));
-    const before = site.servers.listArrivals(LEFT).length;
+  it("sends nothing to a server that the other boxes have read as gone", async () => {
+    const site = await startSignalSite(PLAIN);
+    await runDrill(site, DRILL, ({ store }) =>
+      store.drop(TABLE.servers, LEAVING_SERVER_NAME),
+    );
+    const before = site.servers.listArrivals(LEAVING_SERVER).length;
     expect(await askNewBox(site)).toContain(200);
     expect(listTurnedAway(site.fleet)).toEqual([]);
-    expect(site.servers.listArrivals(LEFT)).toHaveLength(before);
+    expect(site.servers.listArrivals(LEAVING_SERVER)).toHaveLength(before);
   });
 });
 
-describe("a store whose answers tell no era that can be read", () => {
-  it("is followed as of the era known, and each fault is told once", async () => {
-    const { site, ports, lines, start } = await startSite(0, 1, OWN_TIMES);
+describe("a store whose answers contain no readable era", () => {
+  it("is followed with the last known era, and each fault is logged once", async () => {
+    const { site, ports, lines, start } = await startSite(0, 1, PRODUCTION_TIMES);
     await start();
     site.store.restore(site.store.copy());
     await waitFor(() => lines.some(({ event }) => event === "store_era_changed"));
--- a/apps/box/src/streamEnds.test.ts
+++ b/apps/box/src/streamEnds.test.ts
@@ -1,13 +1,14 @@
 /**
- * A client got a stream that ended as complete after an event that no run had made. The record of it has no line of that
- * request, so it does not tell which of these ways it went; all of them were there.
- * The answer of a server had neither a length nor chunks; its process was killed while it wrote an event, and its kernel
- * closed the connection in order, since no input lay unread. The box took that for the end of the answer and passed the
- * half event on: "id: 0\ndata: r token group 0\n\nid: 1\nda", as complete.
- * A connection broke within the first event of a request that may run again; what it left stood before the first event of the
- * next server: "id: 0\ndatid: 0\ndata: r token group 0\n\n".
- * A stream went on at a server that refused it with a body, which went out in the middle of the stream:
- * "id: 0\ndata: r token group 0\n\nout of order".
+ * Guards against streams that end as complete although an event is cut or comes from no run.
+ * There are three ways to it:
+ * - A server is killed within an event of an answer without length or chunks, and its kernel
+ *   closes the connection normally. If that counts as the end of the answer, half an event is
+ *   passed on as complete: "id: 0\ndata: r token group 0\n\nid: 1\nda".
+ * - A connection breaks within the first event of a request that may run again, and the part of
+ *   the event is passed on before the first event of the next server:
+ *   "id: 0\ndatid: 0\ndata: r token group 0\n\n".
+ * - A stream continues at a server that refuses it with a body, and the body is passed on
+ *   within the stream: "id: 0\ndata: r token group 0\n\nout of order".
  */
 import { describe, expect, it } from "vitest";
 import { formatStreamHead } from "@stairgauge/standins";
@@ -21,52 +22,52 @@
   refuse,
   REQUEST,
   sendAndReset,
-  sendAsked,
+  sendRemaining,
   sendChunks,
   sendUnframed,
   WHOLE,
 } from "./scripted.testkit.js";
 
 describe("the end of a stream", () => {
-  it("is not the end of a connection within an event: the stream goes on elsewhere", async () => {
+  it("is not a connection closed within an event: the stream continues at another server", async () => {
     const cut = getEvent(0) + getEvent(1).slice(0, 7);
     const { answer, asked } = await askThrough("/verdict/", [
       sendUnframed(cut, true),
-      sendAsked,
+      sendRemaining,
     ]);
     expect(answer).toMatchObject({ status: 200, body: WHOLE, isWhole: true });
     expect(asked).toEqual([undefined, "0"]);
   });
 
-  it("is not the end of a connection within an event: a stream that cannot go on is broken off", async () => {
+  it("is not a connection closed within an event: a stream that can't be resumed is broken off", async () => {
     const cut = getEvent(0) + getEvent(1).slice(0, 7);
     const { answer } = await askThrough("/draft/", [sendUnframed(cut, true)]);
     expect(answer).toMatchObject({ body: getEvent(0), isWhole: false });
   });
 
-  it("is not the end of a connection within the first event", async () => {
+  it("is not a connection closed within the first event", async () => {
     const { answer } = await askThrough("/verdict/", [
       sendUnframed(getEvent(0).slice(0, 9), true),
-      sendAsked,
+      sendRemaining,
     ]);
     expect(answer).toMatchObject({ status: 200, body: WHOLE, isWhole: true });
   });
 
-  it("is not the end of a connection behind a whole event whose server's process is gone", async () => {
+  it("is not a connection closed after a whole event if the server's process has exited", async () => {
     const { answer, asked } = await askThrough("/verdict/", [
       sendUnframed(getEvents(0, 2), true),
-      sendAsked,
+      sendRemaining,
     ]);
     expect(answer).toMatchObject({ status: 200, body: WHOLE, isWhole: true });
     expect(asked).toEqual([undefined, "1"]);
   });
 
-  it("is broken off where a stream that cannot go on lost its server's process", async () => {
+  it("is broken off if the server's process has exited and the stream can't be resumed", async () => {
     const { answer } = await askThrough("/draft/", [sendUnframed(getEvents(0, 2), true)]);
     expect(answer).toMatchObject({ body: getEvents(0, 2), isWhole: false });
   });
 
-  it("is the end of a connection whose server's process is still there", async () => {
+  it("is a connection closed after a whole event if the server's process still runs", async () => {
     const { answer, asked } = await askThrough("/verdict/", [sendUnframed(WHOLE)]);
     expect(answer).toMatchObject({ status: 200, body: WHOLE, isWhole: true });
     expect(asked).toHaveLength(1);
@@ -74,15 +75,15 @@
 });
 
 describe("events of two servers", () => {
-  it("never meet when the first one broke off within its first event", async () => {
+  it("are not mixed if the first server broke off within its first event", async () => {
     const { answer } = await askThrough("/verdict/", [
       sendAndReset(getEvent(0).slice(0, 9)),
-      sendAsked,
+      sendRemaining,
     ]);
     expect(answer).toMatchObject({ status: 200, body: WHOLE, isWhole: true });
   });
 
-  it("never meet the body of an answer that is no stream", async () => {
+  it("are not followed by the body of an answer that is not a stream", async () => {
     for (const [status, body] of [
       ["500 Internal Server Error", "out of order"],
       ["503 Service Unavailable", '{"reason":"full"}\n\n'],
@@ -97,7 +98,7 @@
   });
 
   it.each([0, 3])(
-    "never meet when the second one begins at event %i instead of the next",
+    "are not joined if the second server begins at event %i instead of the next",
     async (first) => {
       const { answer } = await askThrough("/verdict/", [
         sendAndReset(getEvents(0, 2)),
@@ -107,7 +108,7 @@
     },
   );
 
-  it("carry the signature of the one whose events go out", async () => {
+  it("have the signature of the server whose events are passed on", async () => {
     const { answer } = await askThrough("/verdict/", [
       ({ socket }) => {
         socket.write(
@@ -115,14 +116,14 @@
           () => setTimeout(() => socket.resetAndDestroy(), 20),
         );
       },
-      sendAsked,
+      sendRemaining,
     ]);
     expect(answer).toMatchObject({ body: WHOLE, isWhole: true });
     expect(answer.headers["response-signature"]).toBe("signature");
   });
 });
 
-describe("the lines about the end of a stream", () => {
+describe("the log lines about the end of a stream", () => {
   const cut = getEvent(1).slice(0, 7);
   const findLine = (lines: readonly Line[], event: string) =>
     lines.find((line) => line["event"] === event && line["request"] === REQUEST);
@@ -131,7 +132,7 @@
     ["chunks", "by_framing", sendChunks(WHOLE)],
     ["connection", "in_order", sendUnframed(WHOLE)],
   ])(
-    "say of a whole one by %s that it was closed %s",
+    "state for a complete stream with framing %s that it was closed %s",
     async (framing, closed, script) => {
       const { lines } = await askThrough("/verdict/", [script]);
       expect(findLine(lines, "stream_ended")).toMatchObject({
@@ -145,10 +146,10 @@
     },
   );
 
-  it("tell where a new run goes on, and what the first one left", async () => {
+  it("state where a new run continues and how many bytes the first one left", async () => {
     const { lines } = await askThrough("/verdict/", [
       sendAndReset(getEvent(0) + cut),
-      sendAsked,
+      sendRemaining,
     ]);
     const resumed = findLine(lines, "resumed");
     expect(resumed).toMatchObject({
@@ -167,8 +168,8 @@
     });
   });
 
-  it("tell what an attempt left that came to no whole event", async () => {
-    const { lines } = await askThrough("/verdict/", [sendAndReset(cut), sendAsked]);
+  it("state how many bytes an attempt without a whole event left", async () => {
+    const { lines } = await askThrough("/verdict/", [sendAndReset(cut), sendRemaining]);
     expect(findLine(lines, "retry")).toMatchObject({
       framing: "chunks",
       lastEventId: undefined,
@@ -176,7 +177,7 @@
     });
   });
 
-  it("tell of a lost one, and metrics count it apart from a whole one", async () => {
+  it("report a lost stream, and metrics count it separately from a complete one", async () => {
     const { lines, ports } = await askThrough("/verdict/", [
       sendAndReset(getEvent(0) + cut),
       sendAndReset(cut),
--- a/apps/box/src/suspendedBox.test.ts
+++ b/apps/box/src/suspendedBox.test.ts
@@ -1,7 +1,8 @@
 /**
- * A machine may be suspended for seconds, and its steady clock does not count them. A box that judged ages by that clock alone took
- * for fresh, after waking, what it had heard before: it accepted a key that had been taken away meanwhile, and told boxes that
- * were in touch the list of servers as just confirmed. What is known must be as old as it is, until it has been confirmed anew.
+ * Guards against stale data after a machine was suspended. The monotonic clock doesn't count
+ * the suspended time, so a box that computes ages from it takes old data for fresh: it accepts
+ * a key that was removed meanwhile, and shares the list of servers as just confirmed. The age
+ * of data must include the suspended time until the data is confirmed again.
  */
 import { describe, expect, it } from "vitest";
 import {
@@ -24,13 +25,15 @@
   KEY_REMOVAL_MS,
   startBox,
   waitFor,
-  waitUntilKnown,
+  waitUntilRead,
 } from "./box.testkit.js";
 import { startUsersSite } from "@stairgauge/standins";
 
 const SUSPENDED_MS = 5_000;
 
-/** The machine's clocks, of which only one goes on while it is suspended. */
+/**
+ * Creates the clocks of a machine that can be suspended; the monotonic clock stops meanwhile.
+ */
 const createSuspendableClock = () => {
   const machine = createSystemClock();
   let suspended = 0;
@@ -53,15 +56,16 @@
 };
 
 describe("a box whose machine was suspended", () => {
-  it("accepts no key until it has heard anew which ones there are", async () => {
+  it("accepts no key until it has read the configuration again", async () => {
     const site = await startUsersSite({ engines: 0, services: 1 });
     closers.push(site.close);
     const { clock, passSuspended } = createSuspendableClock();
     const changes = { isKeyRemovalStrict: true };
     const box = await startBox(site.store.address, "box-1", changes, clock);
     site.putConfiguration();
-    await waitUntilKnown(box.lines, 1);
-    // What the box waits for at the store is lost with the suspension, as on a machine whose links were dropped meanwhile.
+    await waitUntilRead(box.lines, 1);
+    // The box's open calls to the store are lost with the suspension, as if the links were
+    // dropped meanwhile.
     site.store.setMode("silent");
     passSuspended(SUSPENDED_MS);
     const { status } = await ask(box.ports, { path: "/once/", id: "woken" });
@@ -73,7 +77,7 @@
     await waitFor(async () => (await ask(box.ports, { path: "/once/" })).status === 200);
   });
 
-  it("hands on what it knows as old as it is", () => {
+  it("counts the suspended time in the age of its rows", () => {
     const { clock, passSuspended } = createSuspendableClock();
     const aging = toAgingClock(clock);
     const mirror = createTableMirror(aging);
@@ -82,7 +86,7 @@
     expect(mirror.getAge()).toBeGreaterThanOrEqual(SUSPENDED_MS);
   });
 
-  it("does not act on a place that another box gave before", async () => {
+  it("ignores a placement that a hub decided before", async () => {
     const { clock, passSuspended } = createSuspendableClock();
     const passedOver: string[] = [];
     const hub = { box: "hub" as BoxName, capacity: 1 };
--- a/apps/box/src/viewConfiguration.ts
+++ b/apps/box/src/viewConfiguration.ts
@@ -1,14 +1,14 @@
-/** The configuration as those see it who decide by how old it is. */
+/** View of the configuration for parts that decide by its age. */
 import type { Clock } from "@stairgauge/common";
 import type { ConfigurationView } from "@stairgauge/forwarding";
-import type { ConfigurationKeeper } from "@stairgauge/routing";
+import type { ConfigurationHolder } from "@stairgauge/routing";
 
-/** Creates the view; the clock is the one by which the configuration was confirmed. */
+/** Creates the view. The clock must be the one by which the configuration was confirmed. */
 export const createConfigurationView = (
-  keeper: ConfigurationKeeper,
+  holder: ConfigurationHolder,
   clock: Clock,
 ): ConfigurationView => ({
-  getIndex: keeper.getIndex,
-  getServerStatus: () => keeper.getFreshness(clock.monotonic()),
-  getAge: () => keeper.getAge(clock.monotonic()),
+  getIndex: holder.getIndex,
+  getFreshness: () => holder.getFreshness(clock.monotonic()),
+  getAge: () => holder.getAge(clock.monotonic()),
 });
--- a/apps/box/src/watchSettings.test.ts
+++ b/apps/box/src/watchSettings.test.ts
@@ -40,14 +40,14 @@
 };
 
 describe("watchSettings", () => {
-  it("takes a changed file without a signal", () => {
+  it("applies a changed file without a signal", () => {
     const { path, clock, slacks } = setUp();
     writeFileSync(path, makeText(1_000));
     clock.advance(1_000 as Ms);
     expect(slacks).toEqual([1_000]);
   });
 
-  it("takes a changed file at SIGHUP, and an unchanged one not again", () => {
+  it("applies a changed file on SIGHUP, and an unchanged one only once", () => {
     const { path, slacks } = setUp();
     process.emit("SIGHUP");
     writeFileSync(path, makeText(77));
@@ -56,7 +56,7 @@
     expect(slacks).toEqual([77]);
   });
 
-  it("keeps the settings in force when the new ones have a fault, and says so", () => {
+  it("keeps the active settings if the new ones are invalid, and logs that", () => {
     const { path, slacks, events } = setUp();
     writeFileSync(path, makeText("many"));
     process.emit("SIGHUP");
--- a/apps/box/src/watchSettings.ts
+++ b/apps/box/src/watchSettings.ts
@@ -1,4 +1,4 @@
-/** Reloads the settings after a SIGHUP, or when the file has changed without one. */
+/** Reloads the settings after SIGHUP, or when the file has changed without one. */
 import { readFileSync, statSync } from "node:fs";
 import type { Clock, Ms } from "@stairgauge/common";
 import {
@@ -8,10 +8,9 @@
 } from "@stairgauge/settings";
 import type { DecisionLog } from "@stairgauge/telemetry";
 
-/** How often the file is looked at; a change of it is in force within seconds. */
-const LOOK_INTERVAL_MS = 1_000 as Ms;
+/** Interval of checks for a changed file; a change takes effect within seconds. */
+const CHECK_INTERVAL_MS = 1_000 as Ms;
 
-/** What watching needs. */
 export type WatchOptions = Readonly<{
   path: string;
   clock: Clock;
@@ -19,17 +18,17 @@
   onChanged: (settings: BoxSettings) => void;
 }>;
 
-/** Watches the file; settings with a fault are logged and the ones in force stay. */
+/** Watches the file. Invalid settings are logged, and the active ones stay. */
 export const watchSettings = ({ path, clock, log, onChanged }: WatchOptions): void => {
-  let knownText = "";
-  let knownStamp = "";
+  let lastText = "";
+  let lastStamp = "";
 
   const findStamp = (): string => {
     try {
       const { mtimeMs, size, ino } = statSync(path);
       return `${mtimeMs} ${size} ${ino}`;
     } catch {
-      return knownStamp;
+      return lastStamp;
     }
   };
   const readText = (): string | undefined => {
@@ -42,8 +41,8 @@
   };
   const applyChange = () => {
     const text = readText();
-    if (text === undefined || text === knownText) return;
-    knownText = text;
+    if (text === undefined || text === lastText) return;
+    lastText = text;
     const parsed = parseBoxSettings(text);
     if (parsed.err) {
       log.writeWarning("settings_refused", { faults: formatSettingsFailure(parsed.val) });
@@ -52,17 +51,17 @@
     log.writeNotice("settings_reloaded", {});
     onChanged(parsed.val);
   };
-  const look = () => {
+  const check = () => {
     const stamp = findStamp();
-    if (stamp !== knownStamp) {
-      knownStamp = stamp;
+    if (stamp !== lastStamp) {
+      lastStamp = stamp;
       applyChange();
     }
-    clock.setTimer(LOOK_INTERVAL_MS, look);
+    clock.setTimer(CHECK_INTERVAL_MS, check);
   };
 
-  knownText = readText() ?? "";
-  knownStamp = findStamp();
+  lastText = readText() ?? "";
+  lastStamp = findStamp();
   process.on("SIGHUP", applyChange);
-  clock.setTimer(LOOK_INTERVAL_MS, look);
+  clock.setTimer(CHECK_INTERVAL_MS, check);
 };
--- a/apps/box/src/wireEngines.testkit.ts
+++ b/apps/box/src/wireEngines.testkit.ts
@@ -1,4 +1,4 @@
-/** A box before engines that are processes of their own: what tests of a stream's end share. */
+/** Test helpers that start a box in front of engines which run as separate processes. */
 import {
   formatEngineEvent,
   formatWireAsk,
@@ -12,21 +12,21 @@
   ask,
   closers,
   makeGeneration,
-  KEEPS_KEYS,
+  LENIENT_KEY_REMOVAL,
   startBox,
-  waitUntilKnown,
+  waitUntilRead,
   type Answer,
   type Line,
 } from "./box.testkit.js";
 
-/** Events of each stream. */
+/** Number of events in each stream. */
 export const EVENT_COUNT = 5;
 
-/** The engine that holds streams. */
+/** The engine that pauses its streams. */
 export const HELD_ENGINE = "engine-held";
 const OTHER_ENGINE = "engine-other";
 
-/** Starts an engine process; it ends with the test. */
+/** Starts an engine process, which is killed after the test. */
 export const spawnEngine = async (
   id: string,
   args: readonly string[] = [],
@@ -37,22 +37,25 @@
   return engine;
 };
 
-/** Kills an engine and waits until its process is gone. */
+/** Kills an engine and waits until its process has exited. */
 export const destroyEngine = async ({ process }: StandinProcess): Promise<void> => {
   process.kill("SIGKILL");
   await process.waitForExit();
 };
 
-/** By what may be done with a request: streams that a new run may resume or not, and plain answers likewise. */
+/**
+ * Kinds of requests: streams that may or may not be resumed by a new run, and plain requests
+ * that may or may not be repeated.
+ */
 export type AskKind = "resumable" | "once" | "plain again" | "plain once";
 
-/** A request whose answer is to be held. */
+/** A request whose answer is paused by the server. */
 export type HeldAsk = Readonly<{ id: string; kind: AskKind; ask: WireAsk }>;
 
-/** A held answer and, later, what its client got. */
+/** A paused request and its answer. */
 export type HeldStream = HeldAsk & Readonly<{ answer: Promise<Answer> }>;
 
-/** A stream whole, as it is made wherever it runs. */
+/** Formats the complete stream, which is the same on every engine. */
 export const formatWhole = ({ id, ask: { hasCarriageReturns } }: HeldAsk): string => {
   const text = Array.from({ length: EVENT_COUNT }, (_, i) =>
     formatEngineEvent(id, i),
@@ -60,7 +63,7 @@
   return hasCarriageReturns ? text.replaceAll("\n", "\r\n") : text;
 };
 
-/** A box whose streams are held at one engine, and that knows another one. */
+/** A box whose streams are paused at one engine and which has a second engine in its list. */
 export type HeldSite = Readonly<{
   site: UsersSite;
   lines: readonly Line[];
@@ -75,7 +78,7 @@
   "plain once": "/once/",
 };
 
-/** A body of which a part stays in the socket of an engine that does not read it. */
+/** A body so large that a part stays in the socket of an engine that doesn't read it. */
 const LARGE_BODY = "x".repeat(400_000);
 
 const LIMITS = {
@@ -85,7 +88,7 @@
   idleTimeoutMs: 15_000,
 };
 
-/** Puts a server in the list as what the requests want. */
+/** Adds a server to the list as the kind that the requests need. */
 const putServer = (
   site: UsersSite,
   {
@@ -102,20 +105,20 @@
 ) =>
   isPlain ? site.putService(id, address) : site.putEngine(id, address, "ready", born);
 
-/** When an engine started, in Unix milliseconds, and where it says so. */
+/** Start time of an engine in Unix ms, and the part of its answers that contains it. */
 export type EngineBirth = Readonly<{ at: number; saidIn: WireBirthPlace }>;
 
-/** What may be different about a box before held streams. */
+/** Options of a site with paused streams. */
 export type HeldChanges = Readonly<{
   deadlineMs?: number | undefined;
   birth?: EngineBirth | undefined;
 }>;
 
-/** Gives the arguments by which an engine process is told its start. */
+/** Formats the start time as arguments of an engine process. */
 export const formatBirth = (birth: EngineBirth | undefined): readonly string[] =>
   birth ? ["--born", String(birth.at), "--born-in", birth.saidIn] : [];
 
-/** Has all answers held at one server, then lets the box know the other one. */
+/** Starts streams that are paused at one server, and then adds the other one to the list. */
 export const startHeldStreams = async (
   asks: readonly HeldAsk[],
   { deadlineMs = 10_000, birth }: HeldChanges = {},
@@ -127,11 +130,15 @@
   const isPlain = asks.some(({ kind }) => kind.startsWith("plain"));
   const site = await startUsersSite({ engines: 0, services: 0 });
   closers.push(site.close);
-  const { ports, lines } = await startBox(site.store.address, "box-1", KEEPS_KEYS);
+  const { ports, lines } = await startBox(
+    site.store.address,
+    "box-1",
+    LENIENT_KEY_REMOVAL,
+  );
   site.putConfiguration({ limits: LIMITS });
   const [held, other] = await spawning;
   putServer(site, { id: HELD_ENGINE, address: held.address, isPlain, born: birth?.at });
-  await waitUntilKnown(lines, 1);
+  await waitUntilRead(lines, 1);
   const streams = asks.map((one) => ({
     ...one,
     answer: ask(ports, {
@@ -144,6 +151,6 @@
   }));
   for (const { id } of asks) await held.process.waitForLine(new RegExp(`^held ${id}$`));
   putServer(site, { id: OTHER_ENGINE, address: other.address, isPlain });
-  await waitUntilKnown(lines, 2);
+  await waitUntilRead(lines, 2);
   return { site, lines, held, streams };
 };
