--- a/apps/box/src/takeUpdates.ts
+++ b/apps/box/src/receiveUpdates.ts
@@ -1,4 +1,4 @@
-/** Takes what other boxes tell of their runs, of engines' reports, and of servers that leave. */
+/** Applies updates from other boxes: runs, engine reports, and servers that leave. */
 import type { Clock } from "@stairgauge/common";
 import type { RequestGuard } from "@stairgauge/crashes";
 import {
@@ -18,75 +18,75 @@
   CompetingRate,
 } from "@stairgauge/placement";
 
-/** Where it goes. */
-export type UpdateTakerOptions = Readonly<{
+export type UpdateReceiverOptions = Readonly<{
   clock: Clock;
-  book: LoadRegistry;
-  rivals: CompetingRate;
+  registry: LoadRegistry;
+  competing: CompetingRate;
   getDirectory: () => ServerDirectory;
   getPlacer: () => Pick<FleetPlacer, "takeBroken" | "takeAnswered">;
   getGuard: () => Pick<RequestGuard, "applyUpdate">;
   getLimits: () => Pick<ServerLimits, "applyUpdate">;
-  /** The store does not reach this box. */
+  /** Whether this box has lost the store. */
   isOutOfTouch: () => boolean;
 }>;
 
-/** Takes updates. */
-export type UpdateTaker = Readonly<{
-  takeUpdate: (update: RunUpdate) => void;
-  takeLeaving: (told: SharedLeaving) => void;
-  /** A report, from the engine itself or by another box. */
-  markReported: (server: ServerId, report: EngineReport) => void;
+/** Applies updates to the parts of this box. */
+export type UpdateReceiver = Readonly<{
+  receiveUpdate: (update: RunUpdate) => void;
+  receiveLeaving: (leaving: SharedLeaving) => void;
+  /** Applies a report of an engine, received directly or from another box. */
+  applyReport: (server: ServerId, report: EngineReport) => void;
 }>;
 
-/** Puts a server that leaves, for the reason given, into the words of an update. */
-export const toToldLeaving = (
+/** Converts a leaving server and its reason to a part of an update. */
+export const toSharedLeaving = (
   { entry }: BackendServer,
   reason: LeavingReason,
 ): SharedLeaving => ({ server: entry.id, basis: getLeavingEvidence(reason) });
 
-/** Lists all servers that leave. */
-export const listToldLeaving = (
+export const listSharedLeaving = (
   directory: Pick<ServerDirectory, "list">,
 ): readonly SharedLeaving[] =>
   directory
     .list()
     .flatMap((server) =>
-      server.leaving ? [toToldLeaving(server, server.leaving.reason)] : [],
+      server.leaving ? [toSharedLeaving(server, server.leaving.reason)] : [],
     );
 
-/** Creates the taker. */
-export const createUpdateTaker = (options: UpdateTakerOptions): UpdateTaker => {
-  const { clock, book, rivals, getDirectory, isOutOfTouch } = options;
+export const createUpdateReceiver = (options: UpdateReceiverOptions): UpdateReceiver => {
+  const { clock, registry, competing, getDirectory, isOutOfTouch } = options;
 
-  const markReported = (server: ServerId, report: EngineReport) => {
+  const applyReport = (server: ServerId, report: EngineReport) => {
     if (report.isLeaving) getDirectory().mark(server, "report", clock.monotonic());
   };
-  const takeLeaving = ({ server, basis }: SharedLeaving) => {
-    // A box that the store reaches sees itself whether an entry is gone.
+  const receiveLeaving = ({ server, basis }: SharedLeaving) => {
+    // A box that reaches the store reads itself whether an entry is gone.
     if (basis === "entry_gone" && !isOutOfTouch()) return;
     const reason = basis === "own_word" ? "told_own_word" : "told_by_box";
     getDirectory().mark(server, reason, clock.monotonic());
   };
-  /** Another box has placed a run, and not where this one said: that was seen. */
-  const isNews = ({ server, run }: PlacedAt) =>
-    !run.hasBegun && !book.listPeerRuns(server).some(({ id }) => id === run.id);
+  /**
+   * Whether the update announces a run that another box has placed by its own choice: a run
+   * that was placed on this box's advice is on record already.
+   */
+  const isOwnChoice = ({ server, run }: PlacedAt) =>
+    !run.hasBegun && !registry.listPeerRuns(server).some(({ id }) => id === run.id);
 
   return {
-    markReported,
-    takeLeaving,
-    takeUpdate: (update) => {
-      const started = update.isWhole ? [] : update.put.filter(isNews);
-      rivals.record(started.length, clock.monotonic());
+    applyReport,
+    receiveLeaving,
+    receiveUpdate: (update) => {
+      const started = update.isWhole ? [] : update.put.filter(isOwnChoice);
+      competing.record(started.length, clock.monotonic());
       const onReport = ({ server, report }: RunUpdate["reports"][number]) => {
         if (!getDirectory().find(server)) return;
-        book.putReport(server, report, clock.monotonic());
-        markReported(server, report);
+        registry.putReport(server, report, clock.monotonic());
+        applyReport(server, report);
       };
       const { takeBroken: onBroken, takeAnswered: onAnswered } = options.getPlacer();
       const sinks = {
-        book,
-        onLeaving: takeLeaving,
+        book: registry,
+        onLeaving: receiveLeaving,
         onReport,
         onBroken,
         onAnswered,
