--- a/packages/common/src/advanceSettled.ts
+++ b/packages/common/src/advanceSettled.ts
@@ -1,29 +1,29 @@
-/** Moves a virtual clock while promises settle between its timers. */
+/** Advances a virtual clock and runs pending promise callbacks between its timers. */
 import type { Ms } from "./types.js";
 import type { VirtualClock } from "./virtualClock.js";
 
-/** Turns of the microtask queue that a chain of promises may need to come to rest. */
+/** Microtask turns to wait for; enough for the longest promise chain to settle. */
 const SETTLE_TURNS = 12;
 
 const settle = async (): Promise<void> => {
   for (let i = 0; i < SETTLE_TURNS; i += 1) await Promise.resolve();
 };
 
-/** Advances by `duration` milliseconds; what timers resolve is run before the next timer. */
+/** Advances the clock by `duration`; promise callbacks of each timer run before the next timer fires. */
 export const advanceSettled = async (
   clock: VirtualClock,
   duration: Ms,
 ): Promise<void> => {
-  const end = clock.now() + duration;
+  const endsAt = clock.now() + duration;
   await settle();
   for (
     let at = clock.getNextAt();
-    at !== undefined && at <= end;
+    at !== undefined && at <= endsAt;
     at = clock.getNextAt()
   ) {
     clock.step();
     await settle();
   }
-  clock.advance((end - clock.now()) as Ms);
+  clock.advance((endsAt - clock.now()) as Ms);
   await settle();
 };
--- a/packages/common/src/assertNever.ts
+++ b/packages/common/src/assertNever.ts
@@ -1,4 +1,4 @@
-/** Marks the end of an exhaustive switch; reaching it is a programming fault. */
+/** Ends an exhaustive switch; throws, as only a programming error gets there. */
 export const assertNever = (value: never): never => {
   throw new TypeError(`unexpected variant: ${JSON.stringify(value)}`);
 };
--- a/packages/common/src/bootClock.test.ts
+++ b/packages/common/src/bootClock.test.ts
@@ -1,19 +1,19 @@
 /**
- * A machine may be suspended for seconds. The steady clock does not count that time, the time of day does; whoever judges by the
- * steady clock alone takes what it knew before for fresh, and hands it on as fresh.
+ * Guards against treating old data as fresh after the machine was suspended. The steady clock does not count the suspension,
+ * so ages measured by it alone are too short; the time of day does count it.
  */
 import { describe, expect, it } from "vitest";
 import { createBootClock } from "./bootClock.js";
 
-const createMachine = () => {
+const createFakeMachine = () => {
   let steady = 1_000;
   let timeOfDay = 1_700_000_000_000;
-  let readingTakes = 0;
+  let readingDuration = 0;
   const gaps: number[] = [];
   const read = createBootClock(
     {
-      steady: () => (steady += readingTakes),
-      timeOfDay: () => (timeOfDay += readingTakes),
+      steady: () => (steady += readingDuration),
+      timeOfDay: () => (timeOfDay += readingDuration),
     },
     (gap) => gaps.push(gap),
   );
@@ -24,61 +24,61 @@
       steady += duration;
       timeOfDay += duration;
     },
-    setAhead: (duration: number) => {
+    changeTimeOfDay: (duration: number) => {
       timeOfDay += duration;
     },
-    setReadingTakes: (duration: number) => {
-      readingTakes = duration;
+    setReadingDuration: (duration: number) => {
+      readingDuration = duration;
     },
   };
 };
 
 describe("createBootClock", () => {
-  it("counts the time in which the machine was suspended, at the first reading", () => {
-    const { read, gaps, run, setAhead } = createMachine();
-    const begun = read();
+  it("counts the time of a suspension at the first reading after it", () => {
+    const { read, gaps, run, changeTimeOfDay } = createFakeMachine();
+    const startedAt = read();
     run(500);
-    setAhead(4_000);
-    expect(read() - begun).toBe(4_500);
+    changeTimeOfDay(4_000);
+    expect(read() - startedAt).toBe(4_500);
     run(10);
-    expect(read() - begun).toBe(4_510);
+    expect(read() - startedAt).toBe(4_510);
     expect(gaps).toEqual([4_000]);
   });
 
-  it("counts several short ones once they add up", () => {
-    const { read, run, setAhead } = createMachine();
-    const begun = read();
+  it("counts several short suspensions once their sum reaches the minimum", () => {
+    const { read, run, changeTimeOfDay } = createFakeMachine();
+    const startedAt = read();
     for (let i = 0; i < 4; i += 1) {
-      setAhead(30);
+      changeTimeOfDay(30);
       run(10);
       read();
     }
-    expect(read() - begun).toBe(40 + 120);
+    expect(read() - startedAt).toBe(40 + 120);
   });
 
-  it("never goes back when the time of day is set back, and finds what comes afterwards", () => {
-    const { read, run, setAhead } = createMachine();
-    const begun = read();
-    setAhead(-2_400);
+  it("does not go back when the time of day is set back, and still counts a later suspension", () => {
+    const { read, run, changeTimeOfDay } = createFakeMachine();
+    const startedAt = read();
+    changeTimeOfDay(-2_400);
     run(100);
-    expect(read() - begun).toBe(100);
-    setAhead(3_000);
-    expect(read() - begun).toBe(3_100);
+    expect(read() - startedAt).toBe(100);
+    changeTimeOfDay(3_000);
+    expect(read() - startedAt).toBe(3_100);
   });
 
-  it("takes a time of day that is set ahead for time that passed: what is known is then confirmed anew", () => {
-    const { read, setAhead } = createMachine();
-    const begun = read();
-    setAhead(2_400);
-    expect(read() - begun).toBe(2_400);
+  it("counts a time of day that is set ahead as time that passed", () => {
+    const { read, changeTimeOfDay } = createFakeMachine();
+    const startedAt = read();
+    changeTimeOfDay(2_400);
+    expect(read() - startedAt).toBe(2_400);
   });
 
-  it("makes nothing of two readings that were interrupted", () => {
-    const { read, run, gaps, setReadingTakes } = createMachine();
+  it("ignores a reading in which the two clocks were read too far apart", () => {
+    const { read, run, gaps, setReadingDuration } = createFakeMachine();
     read();
-    setReadingTakes(150);
+    setReadingDuration(150);
     read();
-    setReadingTakes(0);
+    setReadingDuration(0);
     run(1);
     read();
     expect(gaps).toEqual([]);
--- a/packages/common/src/bootClock.ts
+++ b/packages/common/src/bootClock.ts
@@ -1,40 +1,40 @@
 /**
- * Steady time that goes on while the machine is suspended. The steady clock stands still then, and all that is judged by its age
- * looks younger than it is: a key that was taken away, a data hall that was closed, a place that another box gave. The time of day
- * goes on, but it is also set. The two can't be told apart here: the machine's uptime, which a process can read, keeps another
- * pace than the steady clock on some machines. So whatever the time of day gains counts as time that passed unseen, and what it
- * loses counts as nothing.
+ * A monotonic clock that also counts the time in which the machine is suspended. The steady clock stops then, so data whose age
+ * is checked by it would look too fresh: a removed key, a closed data hall, a placement received from another box. The time of day
+ * goes on during a suspension, but it can also be set. The two cases can't be distinguished: the machine's uptime, which a process
+ * can read, runs at another rate than the steady clock on some machines. So every gain of the time of day over the steady clock
+ * counts as time that passed, and every loss is ignored.
  */
 import type { Ms } from "./types.js";
 
-/** Clocks of the machine, in milliseconds. */
+/** Readings of the machine's clocks, in milliseconds. */
 export type ClockSources = Readonly<{ steady: () => number; timeOfDay: () => number }>;
 
-/** A gain of the time of day below this is its own drift; it counts once it has added up. */
+/** Smaller gains of the time of day may be clock drift; they count once their sum reaches this. */
 const MIN_GAP_MS = 100;
 
-/** Two readings that lie further apart were interrupted, and say nothing of each other. */
-const LONGEST_READING_MS = 2;
+/** If reading the clocks takes longer, the process was interrupted in between and the readings can't be compared. */
+const MAX_READING_MS = 2;
 
-/** Creates the clock; `onGap` hears of time that passed unseen. */
+/** Creates the clock; `onGap` is called with each duration that the steady clock did not count. */
 export const createBootClock = (
   { steady, timeOfDay }: ClockSources,
   onGap: (duration: Ms) => void = () => undefined,
 ): (() => Ms) => {
-  let lead = timeOfDay() - steady();
-  let unseen = 0;
+  let offset = timeOfDay() - steady();
+  let uncounted = 0;
 
   return () => {
     const before = steady();
-    const dayTime = timeOfDay();
+    const timeOfDayNow = timeOfDay();
     const now = steady();
-    if (now - before > LONGEST_READING_MS) return (now + unseen) as Ms;
-    const gain = dayTime - now - lead;
+    if (now - before > MAX_READING_MS) return (now + uncounted) as Ms;
+    const gain = timeOfDayNow - now - offset;
     if (gain >= MIN_GAP_MS) {
-      unseen += gain;
+      uncounted += gain;
       onGap(gain as Ms);
     }
-    if (Math.abs(gain) >= MIN_GAP_MS) lead += gain;
-    return (now + unseen) as Ms;
+    if (Math.abs(gain) >= MIN_GAP_MS) offset += gain;
+    return (now + uncounted) as Ms;
   };
 };
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,8 +1,8 @@
-/** Time as an interface, so that the same code runs on the machine's clock and on a virtual one. */
+/** A clock interface, so that the same code runs on the machine's clock and on a virtual one. */
 import { createBootClock } from "./bootClock.js";
 import type { Ms } from "./types.js";
 
-/** A timer that has been set. */
+/** A pending or fired timer. */
 export type Timer = Readonly<{
   /** Cancels the timer; does nothing once it has fired. */
   cancel: () => void;
@@ -10,26 +10,26 @@
 
 /** A source of time and timers. */
 export type Clock = Readonly<{
-  /** Wall time, milliseconds since 1970. May jump. */
+  /** Time of day, in milliseconds since 1970. May jump. */
   now: () => Ms;
   /** Monotonic time in milliseconds from an arbitrary start. */
   monotonic: () => Ms;
   /**
-   * The same, going on while the machine is suspended; it may run ahead by what the time of day is set ahead. For ages that prove
-   * something: what looks too old by it is asked for again.
+   * Like `monotonic`, but also counts the time in which the machine is suspended. It runs ahead if the time of day is set ahead.
+   * For checks of the age of data: data that looks too old is only fetched again.
    */
   boottime: () => Ms;
   /** Calls `fire` once, after `delay` milliseconds. */
   setTimer: (delay: Ms, fire: () => void) => Timer;
 }>;
 
-/** The clock by which ages are proved, for those who judge ages alone. */
+/** A view of the clock whose `monotonic` is `boottime`, for code that uses time only to check the age of data. */
 export const toAgingClock = (clock: Clock): Clock => ({
   ...clock,
   monotonic: clock.boottime,
 });
 
-/** The machine's clock; `onGap` hears of time that passed unseen. */
+/** Creates the machine's clock; `onGap` is called with each duration that the steady clock did not count. */
 export const createSystemClock = (onGap?: (duration: Ms) => void): Clock => ({
   now: () => Date.now() as Ms,
   monotonic: () => performance.now() as Ms,
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
-/** Ids, units, time, randomness and results for every other package. */
+/** Ids, units, clocks, random numbers and results for every other package. */
 export * from "./types.js";
 export { toHostAndPort } from "./toHostAndPort.js";
 export type { HostAndPort } from "./toHostAndPort.js";
--- a/packages/common/src/poller.ts
+++ b/packages/common/src/poller.ts
@@ -1,11 +1,11 @@
-/** Looks at something again and again, each time an interval after the last look has ended. */
+/** Repeats an asynchronous call; each call starts an interval after the previous one has ended. */
 import type { Clock, Timer } from "./clock.js";
 import type { Ms } from "./types.js";
 
 /** A poller that can be started and stopped. */
 export type Poller = Readonly<{ start: () => void; stop: () => void }>;
 
-/** Creates a poller; it looks first when it is started. */
+/** Creates a poller; the first call of `look` is made by `start`. */
 export const createPoller = (options: {
   readonly clock: Clock;
   readonly interval: Ms;
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -1,4 +1,4 @@
-/** Randomness as an interface: seeded for tests and measurements, the system's own for ids. */
+/** A random source interface: seeded for tests and benchmarks, the system's own for ids. */
 import { randomBytes, randomInt } from "node:crypto";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
@@ -10,20 +10,20 @@
 export type Random = Readonly<{
   /** A number in [0, 1). */
   nextFloat: () => number;
-  /** A whole number from `low` to `high`, both included. */
+  /** An integer from `low` to `high`, both included. */
   nextInt: (low: number, high: number) => number;
-  /** An id of 128 bits in URL-safe characters. */
+  /** A random 128-bit id in URL-safe characters. */
   nextId: () => string;
 }>;
 
-/** Randomness of the system; ids cannot be guessed. */
+/** Creates the system's random source; its ids can't be guessed. */
 export const createSystemRandom = (): Random => ({
   nextFloat: () => Math.random(),
   nextInt: (low, high) => randomInt(low, high + 1),
   nextId: () => randomBytes(ID_BYTES).toString("base64url"),
 });
 
-/** Repeatable randomness: the same seed gives the same sequence. */
+/** Creates a repeatable random source: the same seed gives the same sequence. */
 export const createSeededRandom = (seed: number): Random => {
   const generator = xoroshiro128plus(seed);
   return {
--- a/packages/common/src/result.ts
+++ b/packages/common/src/result.ts
@@ -1,23 +1,23 @@
 /**
- * The one place that imports ts-results.
+ * Re-exports ts-results; no other file imports it.
  *
- * NOTE: ts-results is CommonJS whose names Node's ESM loader does not see, so only its
- * default import works under plain node.
+ * NOTE: ts-results is a CommonJS module whose named exports Node's ESM loader does not detect, so
+ * only its default import works in Node.
  */
 import tsResults from "ts-results";
 import type { Result as TsResult, Ok as TsOk, Err as TsErr } from "ts-results";
 
-/** Makes a successful result. */
+/** Creates a successful result. */
 export const Ok = tsResults.Ok;
 
-/** Makes a failed result; its payload is a typed failure, never a bare string. */
+/** Creates a failed result; its value is a typed failure, never a plain string. */
 export const Err = tsResults.Err;
 
-/** Either a value or a typed failure, both under `.val`. */
+/** Either a value or a typed failure; both are in `.val`. */
 export type Result<T, E> = TsResult<T, E>;
 
-/** The successful arm of a result. */
+/** The successful case of a result. */
 export type Ok<T> = TsOk<T>;
 
-/** The failed arm of a result. */
+/** The failed case of a result. */
 export type Err<E> = TsErr<E>;
--- a/packages/common/src/virtualClock.ts
+++ b/packages/common/src/virtualClock.ts
@@ -1,30 +1,30 @@
-/** A clock for tests and measurements that moves only when told to. */
+/** A clock for tests and benchmarks that moves only by calls of `advance` and `step`. */
 import type { Clock } from "./clock.js";
 import type { Ms } from "./types.js";
 
 type PendingTimer = Readonly<{ at: number; order: number; fire: () => void }>;
 
-/** A clock whose owner moves time. */
+/** A clock whose time is moved by its owner. */
 export type VirtualClock = Clock &
   Readonly<{
-    /** Moves time forward by `duration`, firing due timers in order. */
+    /** Moves the time forward by `duration` and fires due timers in order. */
     advance: (duration: Ms) => void;
-    /** Moves to the next timer and fires it; false when none is set. */
+    /** Moves to the next timer and fires it; returns false if no timer is set. */
     step: () => boolean;
-    /** Time of the next timer, if any. */
+    /** Time of the next timer; undefined if no timer is set. */
     getNextAt: () => Ms | undefined;
   }>;
 
 const isBefore = (a: PendingTimer, b: PendingTimer): boolean =>
   a.at < b.at || (a.at === b.at && a.order < b.order);
 
-/** Binary min-heap by (time, order of setting). */
+/** Creates a binary min-heap of timers, by time and then by the order in which they were set. */
 const createTimerHeap = () => {
   const items: PendingTimer[] = [];
   const swap = (i: number, j: number) => {
-    const held = items[i]!;
+    const previous = items[i]!;
     items[i] = items[j]!;
-    items[j] = held;
+    items[j] = previous;
   };
   const siftUp = (start: number) => {
     let i = start;
@@ -40,12 +40,14 @@
     for (;;) {
       const left = 2 * i + 1;
       const right = left + 1;
-      let least = i;
-      if (left < items.length && isBefore(items[left]!, items[least]!)) least = left;
-      if (right < items.length && isBefore(items[right]!, items[least]!)) least = right;
-      if (least === i) return;
-      swap(i, least);
-      i = least;
+      let earliest = i;
+      if (left < items.length && isBefore(items[left]!, items[earliest]!))
+        earliest = left;
+      if (right < items.length && isBefore(items[right]!, items[earliest]!))
+        earliest = right;
+      if (earliest === i) return;
+      swap(i, earliest);
+      i = earliest;
     }
   };
   return {
@@ -66,7 +68,7 @@
   };
 };
 
-/** Creates a virtual clock that starts at `start` milliseconds. */
+/** Creates a virtual clock whose time begins at `start`. */
 export const createVirtualClock = (start: Ms = 0 as Ms): VirtualClock => {
   let time: number = start;
   let order = 0;
@@ -97,25 +99,29 @@
     monotonic: () => time as Ms,
     boottime: () => time as Ms,
     setTimer: (delay, fire) => {
-      const own = order++;
+      const timerOrder = order++;
       let isPending = true;
       const run = () => {
         isPending = false;
         fire();
       };
-      heap.add({ at: time + Math.max(0, delay), order: own, fire: run });
+      heap.add({ at: time + Math.max(0, delay), order: timerOrder, fire: run });
       return {
         cancel: () => {
-          if (isPending) cancelled.add(own);
+          if (isPending) cancelled.add(timerOrder);
           isPending = false;
         },
       };
     },
     advance: (duration) => {
-      const end = time + duration;
-      for (let next = getNextAt(); next !== undefined && next <= end; next = getNextAt())
+      const endsAt = time + duration;
+      for (
+        let next = getNextAt();
+        next !== undefined && next <= endsAt;
+        next = getNextAt()
+      )
         step();
-      time = end;
+      time = endsAt;
     },
     step,
     getNextAt,
--- a/packages/common/src/waitFor.ts
+++ b/packages/common/src/waitFor.ts
@@ -1,8 +1,8 @@
-/** Lets time pass on a clock. */
+/** A promise-based delay on a clock. */
 import type { Clock } from "./clock.js";
 import type { Ms } from "./types.js";
 
-/** Resolves to nothing once `duration` milliseconds have passed. */
+/** Resolves to undefined after `duration`. */
 export const waitFor = (clock: Clock, duration: Ms): Promise<undefined> =>
   new Promise((resolve) => {
     clock.setTimer(duration, () => resolve(undefined));
