--- a/packages/settings/src/boxSettings.ts
+++ b/packages/settings/src/boxSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of a box on a platform that keeps configuration and server list in its store. */
+/** Settings of a box on a platform whose store holds the configuration and the server list. */
 import { z } from "zod";
 
 const ADDRESS_PATTERN = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
@@ -11,11 +11,11 @@
   .nullish()
   .transform((given) => given ?? 1);
 
-/** Schema of the file; every figure that is not given has a default with its reason beside it. */
+/** Schema of the settings file. */
 export const boxSettingsSchema = z.strictObject({
   box: z.string().min(1),
   dataHall: z.string().min(1),
-  /** The region of each data hall; routes and workspaces may be bound to some. */
+  /** The region of each data hall; routes and workspaces may be restricted to some regions. */
   regions: z
     .record(z.string(), z.string())
     .nullish()
@@ -26,43 +26,43 @@
     metrics: address,
     peers: address,
   }),
-  /** Boxes to ask at a start while the store is away; they may be stale or down. */
+  /** Addresses of boxes to ask for data if the store is unreachable at the start; some may be outdated or down. */
   seeds: z
     .array(address)
     .nullish()
     .transform((given) => given ?? []),
   store: z.strictObject({
     address,
-    /** Boxes that hold calls to the store and hand on what they hear; one may be lost without a gap. */
+    /** Number of store readers: boxes that wait on the store for updates and pass them on. With two, one may fail without a gap. */
     hearers: z.int().positive().default(2),
-    /** How long a call for the configuration waits for news; a fifth of the bound on configurations otherwise. */
+    /** How long a call for the configuration waits for an update; a fifth of `bounds.configurationMs` if missing. */
     configurationWaitMs: ms.optional(),
     serversWaitMs: ms.default(10_000),
     boxesWaitMs: ms.default(15_000),
     blockedWaitMs: ms.default(30_000),
-    /** How much longer an answer may take before it counts as lost. */
+    /** How much longer than its wait time a call may take before it counts as failed. */
     patienceMs: ms.default(1_000),
     firstPauseMs: ms.default(100),
     mostPauseMs: ms.default(500),
   }),
   bounds: z.strictObject({
-    /** A change is in force within this time of its acceptance. */
+    /** A configuration change is in force at most this long after it was accepted. */
     configurationMs: ms,
-    /** A key that was taken away is refused within this time. */
+    /** A removed key is refused at most this long after its removal. */
     keyRemovalMs: ms,
     /**
-     * Whether that bound holds while the store is out of reach too; then a box accepts no key once it may be over.
-     * Otherwise callers go on being served with what the box knows. A platform without keys leaves it empty.
+     * Whether `keyRemovalMs` also holds while the store is unreachable: the box then refuses every key once that time may have
+     * passed. If false, the box goes on with the configuration that it has. A platform without keys leaves it empty.
      */
     isKeyRemovalStrict: z
       .boolean()
       .nullish()
       .transform((given) => given ?? true),
-    /** A server that left gets no new work later than this after a box heard of it. */
+    /** A server that left gets no new work from any box later than this after the first box learned of it. */
     leavingMs: ms,
     /**
-     * What a server that has just started may get from all boxes together in a second: what its service says that it bears, times
-     * `coldOverage`, and `coldSlack`. A platform without such a bound leaves them empty, and nothing is kept back then.
+     * Limit on the requests that a just started server gets from all boxes together in a second: the rate that its service
+     * states, times `coldOverage`, plus `coldSlack`. A platform without such a limit leaves both empty; then nothing is held back.
      */
     coldOverage: z
       .number()
@@ -74,7 +74,7 @@
       .nonnegative()
       .nullish()
       .transform((given) => given ?? 0),
-    /** Time between the order to stop and the end of the process. */
+    /** Longest time from the stop signal to the exit of the process. */
     stopSeconds: z.number().positive(),
   }),
   retries: z.strictObject({
@@ -82,32 +82,32 @@
     slack: z.number().nonnegative(),
     windowSeconds: z.number().positive(),
   }),
-  /** Requests under which servers end. */
+  /** Requests that crash servers. */
   crashes: z
     .strictObject({
-      /** Servers that have to end under a request before it is kept from all others. */
+      /** Number of servers that must crash while they run a request before it is blocked everywhere. */
       blockingEnds: z.int().min(2).default(3),
-      /** How long an end counts, and so how long a request is kept from servers unless an operator releases it. */
+      /** How long a crash counts, and so how long a request stays blocked unless an operator releases it. */
       memorySeconds: z.number().positive().default(3_600),
     })
     .prefault({}),
   limits: z
     .strictObject({
-      /** Files and sockets that the process may have open. */
+      /** Number of files and sockets that the process may have open. */
       descriptors: z.int().positive().default(4_096),
-      /** The box's own link, and its part of a core: stronger boxes hand on more of what all need to know. */
+      /** The box's network bandwidth in Mbit/s and its CPU cores or fraction of one; boxes with more of them pass on more of the updates for all boxes. */
       linkMbps: capacity,
       cores: capacity,
     })
     .prefault({}),
   engines: z
     .strictObject({
-      /** How often an engine is asked for its report; boxes tell each other the rest. */
+      /** Interval at which an engine's report is fetched; between reports, boxes share their changes. */
       reportIntervalMs: ms.default(2_000),
       reportLimitMs: ms.default(500),
     })
     .prefault({}),
-  /** Ways of deciding, by name; docs/operators/box-settings.md says what each is for. */
+  /** Choice of algorithms, by name; docs/operators/box-settings.md describes each. */
   policy: z
     .strictObject({
       engineChoice: z.enum(["free_memory", "short_queue"]).default("short_queue"),
@@ -115,18 +115,18 @@
     .prefault({}),
   clients: z
     .strictObject({
-      /** When a refused client should come back. */
+      /** After how long a refused client should retry. */
       retryAfterMs: ms.default(400),
-      /** How long a connection to a server may take to come up. */
+      /** Time limit for connecting to a server. */
       connectLimitMs: ms.default(250),
-      /** Bodies that are held at once; beyond them a request is refused, not run. */
+      /** Memory for request bodies that are held at once, in MB; a request that exceeds it is refused without being run. */
       heldMb: z.number().positive().default(32),
     })
     .prefault({}),
   log: z
     .strictObject({
       level: z.enum(["debug", "info", "warn", "error", "silent"]).default("info"),
-      /** Lines a second beyond which decisions are counted, not written. */
+      /** Log lines per second; decisions beyond it are counted but not written. */
       linesPerSecond: z.int().positive().default(200),
     })
     .prefault({}),
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** A box's settings: YAML, checked by schema. */
+/** Parses the settings of boxes and of the command line from YAML and validates them. */
 export {
   formatSettingsFailure,
   parseBoxSettings,
--- a/packages/settings/src/parseSettings.ts
+++ b/packages/settings/src/parseSettings.ts
@@ -1,20 +1,20 @@
-/** Reads a box's settings from YAML text. */
+/** Parses the settings of boxes and of the command line from YAML text. */
 import { parse as parseYaml } from "yaml";
 import type { z } from "zod";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import { boxSettingsSchema, type BoxSettings } from "./boxSettings.js";
 import { cliSettingsSchema, settingsSchema } from "./schema.js";
 
-/** A box's settings, validated. */
+/** Validated settings of a box. */
 export type Settings = Readonly<z.infer<typeof settingsSchema>>;
 
-/** The command line's settings, validated. */
+/** Validated settings of the command line. */
 export type CliSettings = Readonly<z.infer<typeof cliSettingsSchema>>;
 
-/** One wrong setting: where it stands and what was expected. */
+/** An invalid setting: its path in the file, and what was expected. */
 export type SettingFault = Readonly<{ path: string; expected: string }>;
 
-/** Why a text is no settings file. */
+/** Why a text could not be parsed as settings. */
 export type SettingsFailure = Readonly<
   | { kind: "not_yaml"; detail: string }
   | { kind: "invalid_settings"; faults: readonly SettingFault[] }
@@ -52,19 +52,19 @@
   });
 };
 
-/** Reads and checks a box's settings; every wrong key is named by its path. */
+/** Parses and validates a box's settings; a failure lists every invalid setting by its path. */
 export const parseSettings = (text: string): Result<Settings, SettingsFailure> =>
   parseAs(settingsSchema, text);
 
-/** Reads and checks the settings of a box whose configuration lies in the platform's store. */
+/** Parses and validates the settings of a box whose configuration is in the platform's store. */
 export const parseBoxSettings = (text: string): Result<BoxSettings, SettingsFailure> =>
   parseAs(boxSettingsSchema, text);
 
-/** Reads and checks the command line's settings. */
+/** Parses and validates the command line's settings. */
 export const parseCliSettings = (text: string): Result<CliSettings, SettingsFailure> =>
   parseAs(cliSettingsSchema, text);
 
-/** Describes a failure for people, one line a fault. */
+/** Formats a failure as text, one line per invalid setting. */
 export const formatSettingsFailure = (failure: SettingsFailure): string =>
   failure.kind === "not_yaml"
     ? `not YAML: ${failure.detail}`
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of a box's settings. */
+/** Schemas of the settings of a box and of the command line. */
 import { z } from "zod";
 
 const ADDRESS_PATTERN = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
@@ -22,20 +22,20 @@
     .includes("BEGIN PUBLIC KEY", { error: "expected an Ed25519 key in PEM" }),
 });
 
-/** Schema of the settings file. */
+/** Schema of a box's settings file. */
 export const settingsSchema = z.strictObject({
   box: z.string().min(1),
   dataHall: z.string().min(1),
-  /** Where callers connect. */
+  /** Address that callers connect to. */
   listen: address,
-  /** Where operators look: health and metrics. */
+  /** Address of the health checks and metrics, for operators. */
   operatorsListen: address,
   platform: z.strictObject({ table: address, objects: address, boxes: address }),
   signOff: z.strictObject({
     approvalsNeeded: z.int().min(1),
     trustedOperators: z.array(trustedOperator).min(1),
   }),
-  /** The first signs, all verify: put a new key second, then first, then remove the old one. */
+  /** The first key signs, all keys verify. To rotate, add the new key second, move it to the front, then remove the old one. */
   resumeKeys: z.array(resumeKey).min(1).max(8),
   tls: z
     .strictObject({ certFile: z.string().min(1), keyFile: z.string().min(1) })
@@ -56,13 +56,13 @@
       bodyTotalMs: positiveMs.default(30_000),
     })
     .prefault({}),
-  /** Calls a second to the table service for claims; each carries up to 200 of them. */
+  /** Calls per second to the table service that write claims; each call carries up to 200 claims. */
   claimCallsPerSecond: z.number().positive().default(20),
   bundlePollMs: positiveMs.default(1_000),
   serverListPollMs: positiveMs.default(1_000),
-  /** How long a caller may stay away before its generation is cancelled. */
+  /** How long a disconnected caller may take to resume before its generation is cancelled. */
   resumeGraceMs: positiveMs.default(20_000),
-  /** How long a planned stop waits for running answers before it sends them elsewhere. */
+  /** How long a planned stop waits for running answers; the rest is then resumed on other boxes. */
   drainGraceMs: positiveMs.default(30_000),
 });
 
@@ -70,6 +70,6 @@
 export const cliSettingsSchema = settingsSchema
   .pick({ platform: true, signOff: true })
   .extend({
-    /** Operators' ports of the boxes. */
+    /** Addresses of the boxes' operator ports (`operatorsListen`). */
     boxes: z.array(address).default([]),
   });
