--- a/packages/telemetry/src/boxMetrics.ts
+++ b/packages/telemetry/src/boxMetrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of a box by prom-client, each defined once here. */
+/** Prometheus metrics of a box. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
 const LATENCY_BUCKETS_SECONDS = [0.03, 0.1, 0.3, 0.6, 1, 1.8, 3, 6, 12, 40];
@@ -6,7 +6,7 @@
 /** The metrics of one box. */
 export type BoxMetrics = ReturnType<typeof createBoxMetrics>;
 
-/** Creates the metrics and the registry that renders them. */
+/** Creates the metrics and their registry. */
 export const createBoxMetrics = () => {
   const registry = new Registry();
   const registers = [registry];
@@ -14,36 +14,36 @@
     registry,
     decisions: new Counter({
       name: "stairgauge_decisions_total",
-      help: "Decisions that touched a request, by kind",
+      help: "Decisions about requests, by kind",
       labelNames: ["kind"],
       registers,
     }),
     streamEnds: new Counter({
       name: "stairgauge_stream_ends_total",
-      help: "Streams that ended, by how their last answer was framed (none: it had no head) and how they ended",
+      help: "Ended streams, by the framing of their last answer (none: it had no head) and how they ended",
       labelNames: ["framing", "end"],
       registers,
     }),
     moves: new Counter({
       name: "stairgauge_moves_total",
-      help: "Steps of moving runs between engines, by kind",
+      help: "Steps of moves of runs between engines, by kind",
       labelNames: ["kind"],
       registers,
     }),
     storeFailures: new Counter({
       name: "stairgauge_store_failures_total",
-      help: "Calls of the platform's store that brought nothing, by table and failure",
+      help: "Failed calls to the platform's store, by table and failure",
       labelNames: ["table", "kind"],
       registers,
     }),
     storeEra: new Gauge({
       name: "stairgauge_store_era",
-      help: "Era of the platform's store since it last came back from a copy, 0 before it has under this box",
+      help: "Era of the platform's store since its last restore from a backup, 0 before this box has seen a restore",
       registers,
     }),
     restoredRows: new Counter({
       name: "stairgauge_store_restored_rows_total",
-      help: "Rows in which the store's copy differed from what was known, by table and how: undone, missing, withheld",
+      help: "Rows of a restored store that differ from what the box had on record, by table and difference: undone, missing, withheld",
       labelNames: ["table", "as"],
       registers,
     }),
@@ -59,33 +59,33 @@
     }),
     blockedRequests: new Gauge({
       name: "stairgauge_blocked_requests",
-      help: "Requests that are kept from servers, since servers ended under them",
+      help: "Requests that are blocked because servers crashed while running them",
       registers,
     }),
     serverSigns: new Counter({
       name: "stairgauge_server_signs_total",
-      help: "What servers said of themselves in answers, by what it was about and what it said",
+      help: "Signals of servers about themselves in their answers, by signal and value",
       labelNames: ["sign", "is"],
       registers,
     }),
     restingServers: new Gauge({
       name: "stairgauge_resting_servers",
-      help: "Backend servers that have turned this box away, and get nothing of it for a while",
+      help: "Backend servers that asked this box for a backoff and get no requests from it until it ends",
       registers,
     }),
     limitedServers: new Gauge({
       name: "stairgauge_limited_servers",
-      help: "Backend servers that have named how many requests they take",
+      help: "Backend servers that have announced a request limit",
       registers,
     }),
     limitedPerSecond: new Gauge({
       name: "stairgauge_limited_per_second",
-      help: "Requests a second that servers with a limit take from all boxes together",
+      help: "Requests per second that servers with an announced limit accept from all boxes together",
       registers,
     }),
     limitedSent: new Counter({
       name: "stairgauge_limited_sent_total",
-      help: "Requests placed at servers that have named a limit",
+      help: "Requests placed on servers that have announced a limit",
       registers,
     }),
     peerMessages: new Counter({
@@ -102,7 +102,7 @@
     }),
     peerLinks: new Gauge({
       name: "stairgauge_peer_links",
-      help: "Links that the box holds to others",
+      help: "Open links from this box to other boxes",
       registers,
     }),
     answerSeconds: new Histogram({
--- a/packages/telemetry/src/decisionLog.ts
+++ b/packages/telemetry/src/decisionLog.ts
@@ -1,50 +1,51 @@
-/** Structured lines on standard output, bounded a second, never blocking the loop. */
+/** A structured log on standard output, limited in lines per second, that never blocks the event loop. */
 import { pino, type Logger as PinoLogger } from "pino";
 import type { Clock, Ms } from "@stairgauge/common";
 import type { LogLevel } from "./logger.js";
 
-/** How decisions are written. */
+/** Options of the log. */
 export type DecisionLogOptions = Readonly<{
   level: LogLevel;
   clock: Clock;
-  /** Lines a second; what comes beyond is counted and told with the next line. */
+  /** Most decisions per second that are written; the next written decision carries the count of the others. */
   linesPerSecond: number;
   base: Readonly<Record<string, string>>;
 }>;
 
 /** The log of a box. */
 export type DecisionLog = Readonly<{
-  /** A decision that touches a request or changes what the box believes. */
+  /** Logs a decision about a request or a change of the box's state; left out beyond `linesPerSecond`. */
   writeDecision: (event: string, fields: Readonly<Record<string, unknown>>) => void;
-  /** Start, stop, reload, and what is lost or regained; never left out. */
+  /** Logs a start, stop, reload, loss or recovery; not limited by `linesPerSecond`. */
   writeNotice: (event: string, fields: Readonly<Record<string, unknown>>) => void;
+  /** Like `writeNotice`, with level `warn`. */
   writeWarning: (event: string, fields: Readonly<Record<string, unknown>>) => void;
-  /** Hands buffered lines to the system; for the end of the process. */
+  /** Writes buffered lines out synchronously; for the end of the process. */
   flush: () => void;
 }>;
 
-/** Bytes that may wait for a reader of the log; beyond them lines are lost and counted. */
+/** Most bytes buffered for a slow reader of standard output; lines beyond that are dropped and counted. */
 const MAX_BUFFERED_BYTES = 512 * 1024;
 const SECOND_MS = 1000;
 /**
- * Lines are written together, at most this long after they came: what a killed box had not written is lost, and with it
- * the cause of what its callers met.
+ * Longest time that lines are buffered. If the box is killed, buffered lines are lost, and with them the cause of its callers'
+ * failures.
  */
 const FLUSH_INTERVAL_MS = 100 as Ms;
-const WRITE_TOGETHER_BYTES = 4096;
+const MIN_WRITE_BYTES = 4096;
 
-/** Creates the log; it writes JSON lines. */
+/** Creates the log; every line is JSON. */
 export const createDecisionLog = (options: DecisionLogOptions): DecisionLog => {
   const { clock, linesPerSecond } = options;
   const destination = pino.destination({
     dest: 1,
     sync: false,
-    minLength: WRITE_TOGETHER_BYTES,
+    minLength: MIN_WRITE_BYTES,
     maxLength: MAX_BUFFERED_BYTES,
   });
-  let lost = 0;
+  let dropped = 0;
   destination.on("drop", () => {
-    lost += 1;
+    dropped += 1;
   });
   const logger: PinoLogger = pino(
     {
@@ -58,7 +59,7 @@
   );
   let windowStart: number = clock.monotonic();
   let written = 0;
-  let leftOut = 0;
+  let omitted = 0;
   let isFlushPending = false;
 
   const scheduleFlush = () => {
@@ -69,10 +70,10 @@
       destination.flush();
     });
   };
-  const takeLeftOut = () => {
-    const count = leftOut + lost;
-    leftOut = 0;
-    lost = 0;
+  const resetOmitted = () => {
+    const count = omitted + dropped;
+    omitted = 0;
+    dropped = 0;
     return count > 0 ? { linesLeftOut: count } : {};
   };
   const mayWrite = () => {
@@ -88,10 +89,10 @@
   return {
     writeDecision: (event, fields) => {
       if (!mayWrite()) {
-        leftOut += 1;
+        omitted += 1;
         return;
       }
-      logger.info({ ...fields, ...takeLeftOut() }, event);
+      logger.info({ ...fields, ...resetOmitted() }, event);
       scheduleFlush();
     },
     writeNotice: (event, fields) => {
@@ -106,7 +107,7 @@
       try {
         destination.flushSync();
       } catch {
-        // NOTE: the reader of the log is gone or slow; there is nowhere left to say so.
+        // NOTE: the reader of standard output is gone or slow; there is no other place to report this.
       }
     },
   };
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,14 +1,14 @@
-/** Logs by pino: JSON lines, or readable ones on a terminal. Secrets and prompts never enter them. */
+/** A pino logger that writes JSON, or readable lines for a terminal. Secrets and prompts are not logged. */
 import { pino, type Logger as PinoLogger } from "pino";
 import pretty from "pino-pretty";
 
-/** Severity below which nothing is written. */
+/** Lowest severity that is logged. */
 export type LogLevel = "debug" | "info" | "warn" | "error" | "silent";
 
-/** The logger that the whole process shares. */
+/** The logger of a process. */
 export type Logger = PinoLogger;
 
-/** Fields that are masked wherever a caller hands them to the logger by mistake. */
+/** Fields that are masked in case they are logged by mistake. */
 const SECRET_FIELDS = [
   "authorization",
   "*.authorization",
@@ -18,12 +18,12 @@
   "*.prompt",
 ];
 
-/** How logs are written. */
+/** Options of the logger. */
 export type LoggerOptions = Readonly<{
   level: LogLevel;
-  /** JSON for machines, pretty for people. */
+  /** `json` for tools, `pretty` for people. */
   format: "json" | "pretty";
-  /** Fields that every line carries. */
+  /** Fields that are added to every line. */
   base: Readonly<Record<string, string>>;
 }>;
 
@@ -34,8 +34,8 @@
     base: options.base,
     redact: { paths: SECRET_FIELDS, censor: "(hidden)" },
   };
-  // NOTE: pino's transports run in a worker thread, and a process here has one thread, so the
-  // pretty form is a plain stream in the same thread.
+  // NOTE: pino's transports run in a worker thread, but this process must be single-threaded, so
+  // pino-pretty is used as a stream in the same thread.
   const stream =
     options.format === "pretty"
       ? pretty({
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics by prom-client, each defined once here. */
+/** Prometheus metrics of a process. */
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from "prom-client";
 
 const LATENCY_BUCKETS_SECONDS = [0.01, 0.03, 0.1, 0.31, 1, 3, 10, 30, 100];
@@ -7,7 +7,7 @@
 /** The metrics of one process. */
 export type Metrics = ReturnType<typeof createMetrics>;
 
-/** Creates the metrics and the registry that renders them. */
+/** Creates the metrics and their registry. */
 export const createMetrics = () => {
   const registry = new Registry();
   const registers = [registry];
@@ -16,7 +16,7 @@
     registry,
     requests: new Counter({
       name: "stairgauge_requests_total",
-      help: "Callers' requests by interface and how they ended",
+      help: "Callers' requests, by interface and how they ended",
       labelNames: ["interface", "end"],
       registers,
     }),
@@ -46,17 +46,17 @@
     }),
     tokens: new Counter({
       name: "stairgauge_tokens_relayed_total",
-      help: "Tokens handed to callers",
+      help: "Tokens sent to callers",
       registers,
     }),
     openStreams: new Gauge({
       name: "stairgauge_open_streams",
-      help: "Generations that callers wait for or read",
+      help: "Generations that callers are waiting for or reading",
       registers,
     }),
     waiting: new Gauge({
       name: "stairgauge_waiting_requests",
-      help: "Requests that wait for a place",
+      help: "Requests that are waiting for placement",
       registers,
     }),
     leavingServers: new Gauge({
@@ -71,7 +71,7 @@
     }),
     headFailures: new Counter({
       name: "stairgauge_bundle_head_failures_total",
-      help: "Heads that were not adopted, by reason",
+      help: "Bundle heads that were not adopted, by reason",
       labelNames: ["kind"],
       registers,
     }),
