--- a/packages/stores/src/httpPlatform.ts
+++ b/packages/stores/src/httpPlatform.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP: table service, object store and box list. */
+/** HTTP clients of the platform's table service, object store and box list. */
 import { Agent, type Dispatcher } from "undici";
 import type { z } from "zod";
 import { Err, Ok, type Result } from "@stairgauge/common";
@@ -7,21 +7,21 @@
 import { boxesSchema, rowSchema, writeResultsSchema } from "./wire.js";
 
 const CONNECT_TIMEOUT_MS = 1_000;
-const ANSWER_TIMEOUT_MS = 3_000;
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const RESPONSE_TIMEOUT_MS = 3_000;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 const CONNECTIONS_PER_STORE = 8;
 const NOT_FOUND_STATUS = 404;
 const UNAVAILABLE_STATUS = 503;
 const OK_STATUS = 200;
 
-/** Where the platform's services listen, IP:PORT. */
+/** Addresses of the platform's services, as IP:PORT. */
 export type PlatformAddresses = Readonly<{
   table: string;
   objects: string;
   boxes: string;
 }>;
 
-type Call = Readonly<{
+type StoreRequest = Readonly<{
   address: string;
   path: string;
   method: "GET" | "PUT" | "POST";
@@ -43,53 +43,53 @@
   }
 };
 
-const createCaller = () => {
+const createStoreClient = () => {
   const agent: Dispatcher = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
-    headersTimeout: ANSWER_TIMEOUT_MS,
-    bodyTimeout: ANSWER_TIMEOUT_MS,
-    maxResponseSize: MAX_ANSWER_BYTES,
+    headersTimeout: RESPONSE_TIMEOUT_MS,
+    bodyTimeout: RESPONSE_TIMEOUT_MS,
+    maxResponseSize: MAX_RESPONSE_BYTES,
     connections: CONNECTIONS_PER_STORE,
   });
-  const send = async (call: Call): Promise<Answer> => {
+  const send = async (request: StoreRequest): Promise<Answer> => {
     const response = await agent.request({
-      origin: `http://${call.address}`,
-      path: call.path,
-      method: call.method,
-      body: call.body ?? null,
-      headers: call.body === undefined ? {} : { "content-type": "application/json" },
+      origin: `http://${request.address}`,
+      path: request.path,
+      method: request.method,
+      body: request.body ?? null,
+      headers: request.body === undefined ? {} : { "content-type": "application/json" },
     });
     return { status: response.statusCode, text: await response.body.text() };
   };
 
-  /** Reads; `undefined` where the store has nothing of that name. */
+  /** Sends a read; the result is undefined if the store answers 404. */
   const read = async <T>(
-    call: Call,
+    request: StoreRequest,
     decode: (text: string) => T | undefined,
   ): Promise<Result<T | undefined, ReadFailure>> => {
     try {
-      const answer = await send(call);
+      const answer = await send(request);
       if (answer.status === NOT_FOUND_STATUS) return Ok(undefined);
       if (answer.status !== OK_STATUS)
         return Err(toReadFailure(`status ${answer.status}`));
       const value = decode(answer.text);
       return value === undefined
-        ? Err(toReadFailure("an answer of another shape"))
+        ? Err(toReadFailure("the answer does not match the schema"))
         : Ok(value);
     } catch (error) {
       return Err(toReadFailure(JSON.stringify(toLinkFailure(error))));
     }
   };
 
-  /** Writes; tells apart what surely had no effect from what may have had one. */
+  /** Sends a write. Fails with `store_unavailable` if it had no effect, with `answer_lost` if it may have had one. */
   const write = async <T>(
-    call: Call,
+    request: StoreRequest,
     decode: (text: string) => T | undefined,
   ): Promise<Result<T, WriteFailure>> => {
     try {
-      const answer = await send(call);
+      const answer = await send(request);
       if (answer.status === UNAVAILABLE_STATUS) {
-        return Err({ kind: "store_unavailable", detail: "the store refused" });
+        return Err({ kind: "store_unavailable", detail: "the store answered 503" });
       }
       const value = answer.status === OK_STATUS ? decode(answer.text) : undefined;
       if (value !== undefined) return Ok(value);
@@ -108,12 +108,12 @@
 
 /** Creates clients for the platform's services. */
 export const createHttpPlatform = (addresses: PlatformAddresses): Platform => {
-  const caller = createCaller();
+  const client = createStoreClient();
 
   const writeBatch = async (
     writes: readonly RowWrite[],
   ): Promise<readonly Result<Row, WriteFailure>[]> => {
-    const answer = await caller.write(
+    const answer = await client.write(
       {
         address: addresses.table,
         path: "/table/v1/writes",
@@ -136,7 +136,7 @@
   return {
     table: {
       read: ({ table, key }) =>
-        caller.read(
+        client.read(
           {
             address: addresses.table,
             path: `/table/v1/rows/${encodeURIComponent(table)}/${encodeURIComponent(key)}`,
@@ -146,13 +146,15 @@
         ),
       write: async (write) => {
         const [result] = await writeBatch([write]);
-        return result ?? Err({ kind: "answer_lost", detail: "no result" });
+        return (
+          result ?? Err({ kind: "answer_lost", detail: "the answer contains no result" })
+        );
       },
       writeBatch,
     },
     objects: {
       read: (name) =>
-        caller.read(
+        client.read(
           {
             address: addresses.objects,
             path: `/objects/v1/${encodeURIComponent(name)}`,
@@ -162,28 +164,32 @@
         ),
       write: async (name, content) => {
         const path = `/objects/v1/${encodeURIComponent(name)}`;
-        const call: Call = {
+        const request: StoreRequest = {
           address: addresses.objects,
           path,
           method: "PUT",
           body: content,
         };
-        const answer = await caller.write(call, () => true);
+        const answer = await client.write(request, () => true);
         return answer.err ? answer : Ok(undefined);
       },
     },
     boxes: {
       read: async () => {
-        const call: Call = { address: addresses.boxes, path: "/boxes/v1", method: "GET" };
-        const answer = await caller.read(
-          call,
+        const request: StoreRequest = {
+          address: addresses.boxes,
+          path: "/boxes/v1",
+          method: "GET",
+        };
+        const answer = await client.read(
+          request,
           (text) => parseAs(boxesSchema, text)?.servers,
         );
         return answer.err ? answer : Ok(answer.val ?? []);
       },
     },
     close: async () => {
-      await caller.close();
+      await client.close();
     },
   };
 };
--- a/packages/stores/src/types.ts
+++ b/packages/stores/src/types.ts
@@ -1,18 +1,18 @@
-/** The platform's services as the rest of the system sees them. */
+/** Interfaces of the platform's services. */
 import type { Result } from "@stairgauge/common";
 
-/** Place of a row in the table service. */
+/** Table and key of a row in the table service. */
 export type RowKey = Readonly<{ table: string; key: string }>;
 
-/** A row and the revision that a compare-and-set names. */
+/** Value of a row, and its revision for a conditional write. */
 export type Row = Readonly<{ value: string; revision: number }>;
 
-/** What a write expects to find: a revision, or no row. */
+/** Condition of a write: the row has this revision, or does not exist. */
 export type Expectation = Readonly<
   { kind: "absent" } | { kind: "revision"; revision: number }
 >;
 
-/** A conditional write. */
+/** A write that takes effect only if the row matches `expected`. */
 export type RowWrite = Readonly<{ at: RowKey; value: string; expected: Expectation }>;
 
 /** Why a read failed. */
@@ -20,31 +20,33 @@
 
 /** Why a write failed. */
 export type WriteFailure = Readonly<
-  /** The write surely took no effect: the store answered so, or was never reached. */
+  /** The write had no effect: the store refused it or was not reached. */
   | { kind: "store_unavailable"; detail: string }
-  /** Another write came first; `current` is what stands there, if anything. */
+  /** The row does not match `expected`; `current` is the stored row, undefined if there is none. */
   | { kind: "conflict"; current: Row | undefined }
-  /** The answer was lost: the write may have taken effect. */
+  /** No valid answer was received: the write may have had an effect. */
   | { kind: "answer_lost"; detail: string }
 >;
 
 /** The transactional table service. */
 export type TableService = Readonly<{
+  /** Reads a row; undefined if it does not exist. */
   read: (at: RowKey) => Promise<Result<Row | undefined, ReadFailure>>;
   write: (write: RowWrite) => Promise<Result<Row, WriteFailure>>;
-  /** Several writes in one call; each stands or falls alone, in the order given. */
+  /** Sends several writes in one call. Each succeeds or fails on its own; results are in the order of `writes`. */
   writeBatch: (
     writes: readonly RowWrite[],
   ) => Promise<readonly Result<Row, WriteFailure>[]>;
 }>;
 
-/** The object store: immutable content under its name. */
+/** The object store, which holds immutable content by name. */
 export type ObjectStore = Readonly<{
+  /** Reads an object; undefined if it does not exist. */
   read: (name: string) => Promise<Result<string | undefined, ReadFailure>>;
   write: (name: string, content: string) => Promise<Result<void, WriteFailure>>;
 }>;
 
-/** An entry of the platform's lagging list. */
+/** An entry of the platform's server list, which may lag behind the real state. */
 export type ListedServer = Readonly<{
   name: string;
   kind: "box" | "backend_server";
@@ -53,12 +55,12 @@
   state: "live" | "leaving";
 }>;
 
-/** The platform's list of live and leaving boxes and backend servers. */
+/** Client of the platform's list of boxes and backend servers that are live or leaving. */
 export type BoxList = Readonly<{
   read: () => Promise<Result<readonly ListedServer[], ReadFailure>>;
 }>;
 
-/** All that the platform gives. */
+/** Clients of all services of the platform. */
 export type Platform = Readonly<{
   table: TableService;
   objects: ObjectStore;
--- a/packages/stores/src/wire.ts
+++ b/packages/stores/src/wire.ts
@@ -1,7 +1,7 @@
-/** The JSON shapes of the platform's HTTP interface. */
+/** JSON schemas of the platform's HTTP interface. */
 import { z } from "zod";
 
-/** A row as the table service answers it. */
+/** A row in answers of the table service. */
 export const rowSchema = z.object({ value: z.string(), revision: z.int() });
 
 const expectationSchema = z.discriminatedUnion("kind", [
@@ -23,7 +23,7 @@
     .max(500),
 });
 
-/** Answer to `POST /table/v1/writes`: one result per write, in order. */
+/** Answer to `POST /table/v1/writes`: one result per write, in the same order. */
 export const writeResultsSchema = z.object({
   results: z.array(
     z.discriminatedUnion("kind", [
