--- a/packages/streams/src/constants.ts
+++ b/packages/streams/src/constants.ts
@@ -1,17 +1,17 @@
-/** Limits of a stream's life. */
+/** Timeouts and retry limits of a stream. */
 import type { Ms } from "@stairgauge/common";
 
-/** Silence on a link, heartbeats included, after which it counts as dead. */
+/** A link on which no frame, not even a heartbeat, arrives for this long counts as dead. */
 export const LINK_SILENCE_MS = 5_000 as Ms;
 
-/** Attempts of one request before it fails, the first included. */
+/** Most attempts of one request, including the first. */
 export const MAX_ATTEMPTS = 4;
 
-/** Resumes in a row without progress before the generation counts as lost. */
+/** Most resumes in a row without a new token; after them the generation counts as lost. */
 export const MAX_RESUMES_WITHOUT_PROGRESS = 6;
 
-/** Wait before the second resume; doubles with each further one. */
+/** Delay before the second resume in a row; doubles with each further one. */
 export const RESUME_BACKOFF_MS = 100 as Ms;
 
-/** Longest wait between two resumes. */
+/** Longest delay before a resume. */
 export const MAX_RESUME_BACKOFF_MS = 2_000 as Ms;
--- a/packages/streams/src/index.ts
+++ b/packages/streams/src/index.ts
@@ -1,4 +1,4 @@
-/** The relay's state: which token is next, from which generation, and what to do when a link breaks. */
+/** The state machine that relays an engine's stream to a caller and recovers from broken links; resume tokens. */
 export type {
   DropReason,
   EndReason,
--- a/packages/streams/src/resumeToken.test.ts
+++ b/packages/streams/src/resumeToken.test.ts
@@ -1,4 +1,4 @@
-/** Resume tokens: bound to a workspace, expiring, and good across rotated keys. */
+/** Resume tokens are bound to a workspace, expire, and stay valid while keys are rotated. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type {
@@ -33,18 +33,18 @@
 describe("resume tokens", () => {
   const token = formatResumeToken(signResumeClaim(OLD_KEY, CLAIM), 7);
 
-  it("give back the claim while the key that signed is still listed", () => {
+  it("return the claim while the signing key is listed, and are refused once it is removed", () => {
     expect(verify(token).val).toEqual({ claim: CLAIM, nextIndex: 7 });
     expect(verify(token, { keys: [NEW_KEY] }).val).toEqual({ kind: "unknown_key" });
   });
 
-  it("are refused from another workspace, and once expired", () => {
+  it("are refused for another workspace and after they expire", () => {
     const other = "other" as WorkspaceName;
     expect(verify(token, { workspace: other }).val).toEqual({ kind: "wrong_signature" });
     expect(verify(token, { now: 1_000 as Ms }).val).toEqual({ kind: "expired_token" });
   });
 
-  it("are refused when any character of the signed part changes", () => {
+  it("are refused if any character of the signed part is changed", () => {
     const signedLength = token.lastIndexOf("~");
     const run = fc.property(
       fc.nat(signedLength - 1),
@@ -57,7 +57,7 @@
     fc.assert(run, { seed: 5, numRuns: 500 });
   });
 
-  it("never throw on random text", () => {
+  it("are refused without an exception for random text", () => {
     const run = fc.property(fc.string({ maxLength: 600 }), (text) => {
       expect(verify(text).ok).toBe(false);
     });
--- a/packages/streams/src/resumeToken.ts
+++ b/packages/streams/src/resumeToken.ts
@@ -1,8 +1,8 @@
 /**
- * Resume tokens: with one, a caller continues its stream on any box.
+ * Resume tokens, with which a caller continues its stream on any box.
  *
- * The HMAC covers all but the index, so that it is computed once for many tokens. The index needs
- * no protection: it only says where in the caller's own generation to go on.
+ * The HMAC covers everything but the index, so that it is computed once for many tokens. The index
+ * needs no protection: it is only a position in the caller's own generation.
  */
 import { createHmac, timingSafeEqual } from "node:crypto";
 import {
@@ -22,15 +22,15 @@
 const TOKEN_FIELDS = 6;
 const MAX_TOKEN_LENGTH = 400;
 
-/** A secret for resume tokens. The first of a list signs, all of it verifies. */
+/** A secret key for resume tokens. Of a list of keys, the first signs and all verify. */
 export type ResumeKey = Readonly<{ id: string; secret: string }>;
 
-/** What a resume token stands for. */
+/** The signed content of a resume token. */
 export type ResumeClaim = Readonly<{
   server: BackendServerName;
   generation: GenerationId;
   workspace: WorkspaceName;
-  /** Wall time after which the token is void. */
+  /** Time of day, in milliseconds since 1970, from which the token is refused. */
   expiresAt: Ms;
 }>;
 
@@ -58,7 +58,7 @@
     .subarray(0, MAC_BYTES)
     .toString("base64url");
 
-/** Signs a claim; the index of the next token is appended by `formatResumeToken`. */
+/** Signs a claim. `formatResumeToken` appends the index of the next token to the result. */
 export const signResumeClaim = (key: ResumeKey, claim: ResumeClaim): string =>
   [
     key.id,
@@ -68,11 +68,11 @@
     computeMac(key, claim),
   ].join(SEPARATOR);
 
-/** Formats the token for the next index. */
+/** Builds the resume token from a signed claim and the index of the next token of the stream. */
 export const formatResumeToken = (signedClaim: string, nextIndex: number): string =>
   `${signedClaim}${SEPARATOR}${nextIndex}`;
 
-/** Verifies a presented token for a workspace. Another workspace's token has a wrong signature. */
+/** Verifies a token for a workspace. A token of another workspace fails with `wrong_signature`. */
 export const verifyResumeToken = (options: {
   readonly token: string;
   readonly keys: readonly ResumeKey[];
@@ -90,7 +90,7 @@
   ) {
     return Err({ kind: "malformed_token" });
   }
-  const key = options.keys.find((one) => one.id === keyId);
+  const key = options.keys.find((candidate) => candidate.id === keyId);
   if (!key) return Err({ kind: "unknown_key" });
   const claim: ResumeClaim = {
     server: server as BackendServerName,
--- a/packages/streams/src/streamSession.test.ts
+++ b/packages/streams/src/streamSession.test.ts
@@ -1,4 +1,4 @@
-/** The stream session against a naive concatenation, under hostile frames and broken links. */
+/** Compares a stream session with plain concatenation of tokens, under invalid frames and broken links. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { BackendServerName, GenerationId, Ms } from "@stairgauge/common";
@@ -8,14 +8,14 @@
 import type { EngineFrame, SessionAction } from "./types.js";
 
 const SERVER = "engine-1" as BackendServerName;
-const OTHER = "engine-2" as BackendServerName;
+const OTHER_SERVER = "engine-2" as BackendServerName;
 const SEED = 20261202;
-const CLOSED: LinkFailure = { kind: "closed_early", detail: "test" };
+const CLOSED_EARLY: LinkFailure = { kind: "closed_early", detail: "test" };
 
 const createSession = (options: Partial<SessionOptions> = {}) => {
-  let minted = 0;
+  let generationCount = 0;
   return createStreamSession({
-    mintGeneration: () => `g${++minted}` as GenerationId,
+    mintGeneration: () => `g${++generationCount}` as GenerationId,
     deliversAtOnce: true,
     mayRunAgain: true,
     ...options,
@@ -37,11 +37,11 @@
   promptTokens: 1,
 });
 
-const findOpened = (actions: readonly SessionAction[]) =>
+const findOpenLink = (actions: readonly SessionAction[]) =>
   actions.find((action) => action.kind === "openLink");
 
-/** Drives a session with frames chosen by the property, resuming as the session asks. */
-const runHostile = (
+/** Applies generated steps to a session, performs its actions, then sends the rest of the answer. */
+const runSteps = (
   session: ReturnType<typeof createSession>,
   steps: readonly Readonly<{ kind: string; offset: number }>[],
   length: number,
@@ -57,7 +57,7 @@
       if (action.kind === "finish" || action.kind === "fail") ending ??= action.kind;
       if (action.kind === "openLink") ({ link, generation } = action);
       if (action.kind === "requestPlacement") {
-        apply(session.handle({ kind: "placed", server: OTHER }, 0 as Ms));
+        apply(session.handle({ kind: "placed", server: OTHER_SERVER }, 0 as Ms));
       }
     }
   };
@@ -76,7 +76,7 @@
     if (kind === "stale") sendFrame(makeToken(generation, next), link - 1);
     if (kind === "earlyEnd") sendFrame(makeEnd(generation, length));
     if (kind === "close") {
-      apply(session.handle({ kind: "linkEnded", link, failure: CLOSED }, 0 as Ms));
+      apply(session.handle({ kind: "linkEnded", link, failure: CLOSED_EARLY }, 0 as Ms));
     }
   }
   for (let i = 0; i < 2 * length && !ending; i += 1) {
@@ -99,30 +99,30 @@
   offset: fc.nat(3),
 });
 
-const renderNaive = (generation: string, length: number) =>
+const buildAnswer = (generation: string, length: number) =>
   Array.from({ length }, (_, index) => `${generation}:${index} `).join("");
 
 describe("createStreamSession", () => {
-  it("delivers what a naive concatenation of one generation gives, whatever the frames do", () => {
+  it("delivers the tokens of one generation in order, or a prefix of them, for any sequence of frames", () => {
     const run = fc.property(
       fc.array(STEP, { maxLength: 60 }),
       fc.boolean(),
       (steps, atOnce) => {
         const session = createSession({ deliversAtOnce: atOnce });
-        const { delivered, generation, ending } = runHostile(session, steps, 12);
-        const naive = renderNaive(generation, 12);
-        if (ending === "finish") expect(delivered).toBe(naive);
-        else expect(naive.startsWith(delivered)).toBe(true);
+        const { delivered, generation, ending } = runSteps(session, steps, 12);
+        const whole = buildAnswer(generation, 12);
+        if (ending === "finish") expect(delivered).toBe(whole);
+        else expect(whole.startsWith(delivered)).toBe(true);
       },
     );
     fc.assert(run, { seed: SEED, numRuns: 1_000 });
   });
 
-  it("starts anew with another generation when nothing has left yet", () => {
+  it("restarts with a new generation when the link ends before a token was delivered", () => {
     const session = createSession();
     session.handle({ kind: "placed", server: SERVER }, 0 as Ms);
     const actions = session.handle(
-      { kind: "linkEnded", link: 1, failure: CLOSED },
+      { kind: "linkEnded", link: 1, failure: CLOSED_EARLY },
       0 as Ms,
     );
     expect(actions.map((action) => action.kind)).toEqual([
@@ -130,23 +130,28 @@
       "discard",
       "requestPlacement",
     ]);
-    const opened = findOpened(session.handle({ kind: "placed", server: OTHER }, 0 as Ms));
+    const opened = findOpenLink(
+      session.handle({ kind: "placed", server: OTHER_SERVER }, 0 as Ms),
+    );
     expect(opened).toMatchObject({
       generation: "g2",
-      server: OTHER,
+      server: OTHER_SERVER,
       mode: { kind: "start" },
     });
   });
 
-  it("resumes the same generation once a token has left, and never starts anew", () => {
+  it("resumes the same generation after a token was delivered, and fails after too many resumes without progress", () => {
     const session = createSession();
     session.handle({ kind: "placed", server: SERVER }, 0 as Ms);
     session.handle({ kind: "frame", link: 1, frame: makeToken("g1", 0) }, 0 as Ms);
     let link = 1;
     let actions: readonly SessionAction[] = [];
     for (let i = 0; i <= MAX_RESUMES_WITHOUT_PROGRESS; i += 1) {
-      actions = session.handle({ kind: "linkEnded", link, failure: CLOSED }, 0 as Ms);
-      const opened = findOpened(actions);
+      actions = session.handle(
+        { kind: "linkEnded", link, failure: CLOSED_EARLY },
+        0 as Ms,
+      );
+      const opened = findOpenLink(actions);
       if (opened?.kind !== "openLink") break;
       expect(opened).toMatchObject({
         generation: "g1",
@@ -162,7 +167,7 @@
     ]);
   });
 
-  it("takes a generation that is gone for lost at once", () => {
+  it("fails with generation_lost at once when the generation is gone", () => {
     const session = createSession();
     session.handle({ kind: "placed", server: SERVER }, 0 as Ms);
     session.handle({ kind: "frame", link: 1, frame: makeToken("g1", 0) }, 0 as Ms);
@@ -176,7 +181,7 @@
     ]);
   });
 
-  it("says not run only while no attempt can have reached an engine", () => {
+  it("fails with not_run only if no attempt can have reached an engine", () => {
     const refused = { kind: "connect_failed", detail: "ECONNREFUSED" } as const;
     const fail = (failures: readonly LinkFailure[]) => {
       const session = createSession();
@@ -188,31 +193,31 @@
       return last.find((action) => action.kind === "fail")?.failure.outcome;
     };
     expect(fail([refused, refused, refused, refused])).toBe("not_run");
-    expect(fail([refused, CLOSED, refused, refused])).toBe("unknown");
+    expect(fail([refused, CLOSED_EARLY, refused, refused])).toBe("unknown");
   });
 
-  it("does not repeat a call that may have run where it must not run twice", () => {
+  it("does not retry a request that may have run when mayRunAgain is false", () => {
     const session = createSession({ mayRunAgain: false });
     session.handle({ kind: "placed", server: SERVER }, 0 as Ms);
     const actions = session.handle(
-      { kind: "linkEnded", link: 1, failure: CLOSED },
+      { kind: "linkEnded", link: 1, failure: CLOSED_EARLY },
       0 as Ms,
     );
     expect(actions).toMatchObject([{ kind: "fail", failure: { outcome: "unknown" } }]);
   });
 
-  it("tells a slow engine, whose heartbeats come, from a dead link", () => {
+  it("keeps a link open while heartbeats arrive, and resumes on a new link after silence", () => {
     const session = createSession();
     session.handle({ kind: "placed", server: SERVER }, 0 as Ms);
     session.handle({ kind: "frame", link: 1, frame: makeToken("g1", 0) }, 0 as Ms);
-    const beat = { kind: "frame", link: 1, frame: { kind: "heartbeat" } } as const;
-    expect(session.handle(beat, (LINK_SILENCE_MS - 1) as Ms)).toEqual([]);
+    const heartbeat = { kind: "frame", link: 1, frame: { kind: "heartbeat" } } as const;
+    expect(session.handle(heartbeat, (LINK_SILENCE_MS - 1) as Ms)).toEqual([]);
     expect(session.handle({ kind: "ticked" }, (LINK_SILENCE_MS + 1) as Ms)).toEqual([]);
     const silent = session.handle({ kind: "ticked" }, (2 * LINK_SILENCE_MS) as Ms);
     expect(silent.map((action) => action.kind)).toEqual(["closeLink", "openLink"]);
   });
 
-  it("refuses an end that does not fit the tokens delivered", () => {
+  it("fails with token_count_mismatch when the end frame announces fewer tokens than were delivered", () => {
     const session = createSession();
     session.handle({ kind: "placed", server: SERVER }, 0 as Ms);
     session.handle({ kind: "frame", link: 1, frame: makeToken("g1", 0) }, 0 as Ms);
--- a/packages/streams/src/streamSession.ts
+++ b/packages/streams/src/streamSession.ts
@@ -1,9 +1,9 @@
 /**
- * The life of one stream, as a pure state machine: frames and link events in, actions out.
+ * A stream as a pure state machine: frames and link events are its input, actions its output.
  *
- * Every token is delivered once, in order, from one generation. Before the first token has left
- * a failed attempt may start anew with a new generation; after it, only the same generation is
- * resumed.
+ * Every token is delivered once, in order, from a single generation. A failed attempt may be
+ * restarted with a new generation until the first token has been sent to the caller; afterwards,
+ * only the same generation is resumed.
  */
 import {
   assertNever,
@@ -26,34 +26,34 @@
 } from "./constants.js";
 import type { EngineFrame, LinkMode, SessionAction, SessionEvent } from "./types.js";
 
-/** An earlier generation that a caller continues. */
+/** Position in a generation that was begun on another connection and that the caller continues. */
 export type Continuation = Readonly<{
   server: BackendServerName;
   generation: GenerationId;
   nextIndex: number;
 }>;
 
-/** How a session behaves. */
+/** Options of a session. */
 export type SessionOptions = Readonly<{
-  /** Mints the id of each attempt's generation. */
+  /** Generates the id of each attempt's generation. */
   mintGeneration: () => GenerationId;
-  /** Whether delivered tokens leave at once, so that the answer cannot start anew. */
+  /** Whether delivered tokens are sent to the caller at once, so that the answer can't be restarted after the first. */
   deliversAtOnce: boolean;
-  /** Whether an attempt that may have run may be followed by another. */
+  /** Whether a new attempt is allowed after one that may have run. */
   mayRunAgain: boolean;
-  /** Set when a caller continues a stream that another connection began. */
+  /** Set if the caller continues a stream that was begun on another connection. */
   continuation?: Continuation;
 }>;
 
-/** A running session. */
+/** The session of one stream. */
 export type StreamSession = Readonly<{
-  /** Applies one event and returns what the shell must do, in order. */
+  /** Applies an event and returns the actions that the caller of this function must perform, in order. */
   handle: (event: SessionEvent, now: Ms) => readonly SessionAction[];
   /** Index of the next token to deliver. */
   getNextIndex: () => number;
-  /** What may be said of all attempts that have failed so far, if there is no other. */
+  /** Combined outcome of the attempts that were abandoned so far for a new one; excludes the current attempt. */
   getOutcomeSoFar: () => Outcome;
-  /** Generation and server that the next token comes from, once placed. */
+  /** Server and generation of the next token; undefined while the request is not placed. */
   getSource: () =>
     Readonly<{ server: BackendServerName; generation: GenerationId }> | undefined;
 }>;
@@ -77,24 +77,24 @@
   let isOver = false;
   let attempts = 0;
   let resumesWithoutProgress = 0;
-  let lastHeardAt = 0;
-  const earlier: Outcome[] = [];
+  let lastFrameAt = 0;
+  const earlierOutcomes: Outcome[] = [];
 
   const isCommitted = () =>
     continuation !== undefined || (options.deliversAtOnce && next > 0);
 
   const openLink = (mode: LinkMode, delay: Ms, now: Ms): SessionAction => {
-    if (!source) throw new TypeError("a link needs a placed generation");
+    if (!source) throw new TypeError("cannot open a link before the request is placed");
     link += 1;
     isLinkOpen = true;
-    lastHeardAt = now + delay;
+    lastFrameAt = now + delay;
     return { kind: "openLink", link, mode, delay, ...source };
   };
 
   const fail = (cause: LinkFailure): SessionAction => {
     isOver = true;
     const outcome = combineOutcomes([
-      ...earlier,
+      ...earlierOutcomes,
       next > 0 ? "unknown" : toOutcome(cause),
     ]);
     return next > 0
@@ -105,12 +105,12 @@
       : { kind: "fail", failure: { kind: "attempts_exhausted", cause, outcome } };
   };
 
-  const startAnew = (cause: LinkFailure): readonly SessionAction[] => {
+  const restart = (cause: LinkFailure): readonly SessionAction[] => {
     const lost = source;
     const outcome = next > 0 ? "unknown" : toOutcome(cause);
     const mayRepeat = options.mayRunAgain || outcome === "not_run";
     if (!lost || !mayRepeat || attempts >= MAX_ATTEMPTS) return [fail(cause)];
-    earlier.push(outcome);
+    earlierOutcomes.push(outcome);
     source = undefined;
     next = 0;
     resumesWithoutProgress = 0;
@@ -140,7 +140,7 @@
         ),
       ];
     }
-    return isCommitted() ? [fail(cause)] : startAnew(cause);
+    return isCommitted() ? [fail(cause)] : restart(cause);
   };
 
   const breakLink = (cause: LinkFailure, now: Ms): readonly SessionAction[] => {
@@ -154,7 +154,7 @@
   ): readonly SessionAction[] => {
     if (frame.tokens > next) {
       return breakLink(
-        { kind: "garbage", detail: "tokens are missing before the end" },
+        { kind: "garbage", detail: "tokens are missing before the end frame" },
         now,
       );
     }
@@ -182,7 +182,7 @@
     now: Ms,
   ): readonly SessionAction[] => {
     if (from !== link || !isLinkOpen) return [{ kind: "drop", reason: "stale_link" }];
-    lastHeardAt = now;
+    lastFrameAt = now;
     if (frame.kind === "heartbeat") return NO_ACTIONS;
     if (frame.generation !== source?.generation) {
       return [{ kind: "drop", reason: "wrong_generation" }];
@@ -190,7 +190,7 @@
     if (frame.kind === "end") return handleEnd(frame, now);
     if (frame.index < next) return [{ kind: "drop", reason: "repeated" }];
     if (frame.index > next)
-      return breakLink({ kind: "garbage", detail: "token gap" }, now);
+      return breakLink({ kind: "garbage", detail: "token index skips ahead" }, now);
     next += 1;
     resumesWithoutProgress = 0;
     return [{ kind: "deliver", index: frame.index, text: frame.text }];
@@ -214,7 +214,7 @@
   };
 
   const handleTick = (now: Ms): readonly SessionAction[] =>
-    isLinkOpen && now - lastHeardAt >= LINK_SILENCE_MS
+    isLinkOpen && now - lastFrameAt >= LINK_SILENCE_MS
       ? breakLink({ kind: "silent" }, now)
       : NO_ACTIONS;
 
@@ -239,7 +239,7 @@
       case "ticked":
         return handleTick(now);
       case "readerResumed":
-        lastHeardAt = now;
+        lastFrameAt = now;
         return NO_ACTIONS;
       case "callerGone":
         return handleCallerGone();
@@ -251,7 +251,7 @@
   return {
     handle,
     getNextIndex: () => next,
-    getOutcomeSoFar: () => combineOutcomes(earlier),
+    getOutcomeSoFar: () => combineOutcomes(earlierOutcomes),
     getSource: () => source,
   };
 };
--- a/packages/streams/src/types.ts
+++ b/packages/streams/src/types.ts
@@ -1,8 +1,8 @@
-/** Frames, and the events and actions of one stream. */
+/** Frames of an engine's stream, and the events and actions of a stream session. */
 import type { BackendServerName, GenerationId, Ms } from "@stairgauge/common";
 import type { LinkFailure, Outcome } from "@stairgauge/outcomes";
 
-/** Why a generation ended on its own. */
+/** Why an engine ended a generation: the text is complete, or it reached the length limit. */
 export type EndReason = "stop" | "length";
 
 /** One frame of an engine's stream. */
@@ -12,14 +12,14 @@
       kind: "end";
       generation: GenerationId;
       reason: EndReason;
-      /** Count of tokens of the whole generation. */
+      /** Number of tokens of the whole generation. */
       tokens: number;
       promptTokens: number;
     }
   | { kind: "heartbeat" }
 >;
 
-/** The verified end of an answer. */
+/** The end of a complete answer, whose token count matches the delivered tokens. */
 export type StreamEnd = Readonly<{
   reason: EndReason;
   tokens: number;
@@ -29,7 +29,7 @@
 /** Why a frame was not delivered. */
 export type DropReason = "stale_link" | "wrong_generation" | "repeated";
 
-/** Why a stream ended without its whole answer. */
+/** Why a stream ended without a complete answer. */
 export type StreamFailure = Readonly<
   | { kind: "generation_lost"; cause: LinkFailure; delivered: number; outcome: Outcome }
   | { kind: "attempts_exhausted"; cause: LinkFailure; outcome: Outcome }
@@ -41,10 +41,10 @@
     }
 >;
 
-/** What a session is told. */
+/** Input of a session. */
 export type SessionEvent = Readonly<
   | { kind: "placed"; server: BackendServerName }
-  /** Begins a session whose options hold a continuation. */
+  /** Starts a session whose options contain a continuation. */
   | { kind: "continued" }
   | { kind: "frame"; link: number; frame: EngineFrame }
   | { kind: "linkEnded"; link: number; failure: LinkFailure | undefined }
@@ -53,16 +53,16 @@
   | { kind: "callerGone" }
 >;
 
-/** How a link begins: a new generation, or an earlier one from an index. */
+/** How a link starts: with a new generation, or with an existing one from a token index. */
 export type LinkMode = Readonly<{ kind: "start" } | { kind: "resume"; from: number }>;
 
-/** What a session asks its shell to do. */
+/** Output of a session: what the code that runs it must do. */
 export type SessionAction = Readonly<
   | { kind: "deliver"; index: number; text: string }
   | { kind: "finish"; end: StreamEnd }
   | { kind: "fail"; failure: StreamFailure }
   | { kind: "drop"; reason: DropReason }
-  /** Forget what was collected: the answer starts anew with another generation. */
+  /** Discard the collected tokens; the answer restarts with a new generation. */
   | { kind: "discard" }
   | {
       kind: "openLink";
@@ -75,6 +75,6 @@
   | { kind: "closeLink"; link: number }
   | { kind: "requestPlacement"; cause: LinkFailure; failedServer: BackendServerName }
   | { kind: "cancelGeneration"; server: BackendServerName; generation: GenerationId }
-  /** The caller went away: cancel once the grace ends, unless someone else reads by then. */
+  /** The caller disconnected: cancel the generation after the grace time unless a caller has resumed it by then. */
   | { kind: "orphanGeneration"; server: BackendServerName; generation: GenerationId }
 >;
