--- a/packages/http/src/httpServer.ts
+++ b/packages/http/src/httpServer.ts
@@ -1,4 +1,4 @@
-/** A bounded HTTP server around a find-my-way router. */
+/** An HTTP server with a find-my-way router and limits on request heads. */
 import {
   createServer,
   type IncomingMessage,
@@ -11,7 +11,7 @@
 import findMyWay from "find-my-way";
 import { HEADERS_TIMEOUT_MS, KEEP_ALIVE_MS, MAX_HEADER_BYTES } from "./constants.js";
 
-/** A request as a route sees it. */
+/** A request, its response and the parsed URL, as passed to a route's handler. */
 export type HttpExchange = Readonly<{
   request: IncomingMessage;
   response: ServerResponse;
@@ -26,39 +26,39 @@
   handle: (exchange: HttpExchange) => void | Promise<void>;
 }>;
 
-/** Why a connection broke before a request could be routed. */
+/** Why a request was refused before routing: Node could not parse it, or it came too slowly. */
 export type ClientFault = "header_too_large" | "too_slow" | "malformed";
 
-/** An answer that is sent whole. */
+/** A complete answer. */
 export type HttpAnswer = Readonly<{
   status: number;
   headers: OutgoingHttpHeaders;
   body: string;
 }>;
 
-/** Certificate and key of a server, PEM. */
+/** Certificate and private key of a server, in PEM. */
 export type TlsIdentity = Readonly<{ cert: string; key: string }>;
 
-/** What a server needs. */
+/** Options of a server. */
 export type HttpServerOptions = Readonly<{
   routes: readonly HttpRoute[];
-  /** Answers a request that no route takes. */
+  /** Answers a request that matches no route. */
   handleUnknown: (exchange: HttpExchange) => void;
-  /** Answers bytes that were no acceptable request. */
+  /** Builds the answer to a request that was refused before routing. */
   renderClientFault: (fault: ClientFault) => HttpAnswer;
-  /** Serves HTTPS where given. */
+  /** If given, the server uses HTTPS. */
   tls?: TlsIdentity | undefined;
-  /** Told of a route that threw: a fault of this program. */
+  /** Called with what a route's handler threw, which is a bug in this program; the connection is closed. */
   reportFault: (error: unknown) => void;
 }>;
 
 /** A server that can be opened and closed. */
 export type HttpServer = Readonly<{
-  /** Listens on `host:port` and resolves with the port (0 picks a free one). */
+  /** Listens on `host:port` and resolves to the port; port 0 picks a free one. Rejects if it can't listen. */
   open: (host: string, port: number) => Promise<number>;
-  /** Accepts no more connections and closes idle ones; resolves when all are closed. */
+  /** Stops accepting connections and closes idle ones; resolves when all are closed. */
   close: () => Promise<void>;
-  /** Cuts every connection. */
+  /** Closes all connections at once, also those with a running request. */
   destroy: () => void;
 }>;
 
@@ -67,7 +67,7 @@
   ERR_HTTP_REQUEST_TIMEOUT: "too_slow",
 };
 
-/** Sends a JSON answer. */
+/** Sends a JSON answer; does nothing if headers were already sent or the response is destroyed. */
 export const sendJson = (
   response: ServerResponse,
   status: number,
@@ -141,17 +141,17 @@
     response.on("close", closeIfIdle);
     router.lookup(request, response);
   };
-  const bounds = {
+  const limits = {
     maxHeaderSize: MAX_HEADER_BYTES,
     headersTimeout: HEADERS_TIMEOUT_MS,
     keepAliveTimeout: KEEP_ALIVE_MS,
-    // NOTE: bodies have their own bounds of pause and total time (readBody).
+    // NOTE: disabled, as readBody limits the idle and total time of bodies.
     requestTimeout: 0,
     noDelay: true,
   };
   const server: Server = options.tls
-    ? createTlsServer({ ...bounds, ...options.tls }, handleRequest)
-    : createServer(bounds, handleRequest);
+    ? createTlsServer({ ...limits, ...options.tls }, handleRequest)
+    : createServer(limits, handleRequest);
   server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
     if (!socket.writable || error.code === "ECONNRESET") {
       socket.destroy();
--- a/packages/http/src/index.ts
+++ b/packages/http/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP plumbing: a bounded server, bounded bodies, and typed failures of exchanges. */
+/** An HTTP server with limits, readers of request bodies, and typed failures of requests to servers. */
 export * from "./constants.js";
 export { createHttpServer, sendJson } from "./httpServer.js";
 export type {
--- a/packages/http/src/linkFailures.ts
+++ b/packages/http/src/linkFailures.ts
@@ -1,7 +1,7 @@
-/** Types the errors that undici reports for an exchange with a backend server. */
+/** Converts errors of undici requests to typed failures. */
 import type { LinkFailure } from "@stairgauge/outcomes";
 
-/** Codes that undici and the system give only while no connection exists yet. */
+/** Error codes that undici and the system report only before a connection is established. */
 const CONNECT_CODES: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -15,7 +15,7 @@
   return typeof code === "string" ? code : "";
 };
 
-/** Types an error; only one from before the connection shows that nothing was sent. */
+/** Converts an error; `connect_failed` means that nothing was sent, `closed_early` that the request may have been. */
 export const toLinkFailure = (error: unknown): LinkFailure => {
   const code = getCode(error);
   if (CONNECT_CODES.has(code)) return { kind: "connect_failed", detail: code };
--- a/packages/http/src/readBody.ts
+++ b/packages/http/src/readBody.ts
@@ -1,4 +1,4 @@
-/** Reads a request's body within bounds of size, pause and total time. */
+/** Reads request bodies, with limits on size, idle time and total time. */
 import type { IncomingMessage } from "node:http";
 import {
   Err,
@@ -9,14 +9,15 @@
   type Timer,
 } from "@stairgauge/common";
 
-/** Bounds of a body. */
+/** Limits on a request body. */
 export type BodyLimits = Readonly<{
   maxBytes: number;
+  /** Longest time between two chunks. */
   idleTimeout: Ms;
   totalTimeout: Ms;
 }>;
 
-/** Why a body was not read. */
+/** Why a body could not be read. */
 export type BodyFailure = Readonly<
   | { kind: "body_too_large"; maxBytes: number }
   | { kind: "body_too_slow" }
@@ -24,7 +25,7 @@
   | { kind: "body_not_json"; detail: string }
 >;
 
-/** Reads the body whole. After a failure the rest of the body is not read. */
+/** Reads the whole body. After a failure, the rest of it is left unread. */
 export const readBody = (
   request: IncomingMessage,
   limits: BodyLimits,
@@ -33,21 +34,21 @@
   new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let size = 0;
-    let idle: Timer | undefined;
-    const total = clock.setTimer(limits.totalTimeout, () =>
+    let idleTimer: Timer | undefined;
+    const totalTimer = clock.setTimer(limits.totalTimeout, () =>
       finish(Err({ kind: "body_too_slow" })),
     );
 
     const finish = (result: Result<Buffer, BodyFailure>) => {
-      idle?.cancel();
-      total.cancel();
+      idleTimer?.cancel();
+      totalTimer.cancel();
       request.off("data", handleData).off("end", handleEnd).off("close", handleClose);
       request.pause();
       resolve(result);
     };
-    const watchIdle = () => {
-      idle?.cancel();
-      idle = clock.setTimer(limits.idleTimeout, () =>
+    const resetIdleTimer = () => {
+      idleTimer?.cancel();
+      idleTimer = clock.setTimer(limits.idleTimeout, () =>
         finish(Err({ kind: "body_too_slow" })),
       );
     };
@@ -58,22 +59,22 @@
         return;
       }
       chunks.push(chunk);
-      watchIdle();
+      resetIdleTimer();
     };
     const handleEnd = () => finish(Ok(Buffer.concat(chunks)));
     const handleClose = () => finish(Err({ kind: "body_cut_off" }));
 
-    const announced = Number(request.headers["content-length"] ?? 0);
-    if (announced > limits.maxBytes) {
+    const contentLength = Number(request.headers["content-length"] ?? 0);
+    if (contentLength > limits.maxBytes) {
       finish(Err({ kind: "body_too_large", maxBytes: limits.maxBytes }));
       return;
     }
-    watchIdle();
+    resetIdleTimer();
     request.on("data", handleData).on("end", handleEnd).on("close", handleClose);
     request.on("error", handleClose);
   });
 
-/** Reads the body as JSON. */
+/** Reads the whole body and parses it as JSON in UTF-8. */
 export const readJsonBody = async (
   request: IncomingMessage,
   limits: BodyLimits,
