--- a/packages/common/src/poller.ts
+++ b/packages/common/src/poller.ts
@@ -15,13 +15,13 @@
   let timer: Timer | undefined;
   let isStopped = false;
 
-  const poll = async () => {
+  const pollOnce = async () => {
     await look();
-    if (!isStopped) timer = clock.setTimer(interval, () => void poll());
+    if (!isStopped) timer = clock.setTimer(interval, () => void pollOnce());
   };
 
   return {
-    start: () => void poll(),
+    start: () => void pollOnce(),
     stop: () => {
       isStopped = true;
       timer?.cancel();
--- a/packages/stores/src/types.ts
+++ b/packages/stores/src/types.ts
@@ -33,7 +33,7 @@
   /** Reads a row; undefined if it does not exist. */
   read: (at: RowKey) => Promise<Result<Row | undefined, ReadFailure>>;
   write: (write: RowWrite) => Promise<Result<Row, WriteFailure>>;
-  /** Sends several writes in one call. Each succeeds or fails on its own; results are in the order of `writes`. */
+  /** Sends several writes in one call. Each succeeds or fails on its own; they are applied and answered in the given order. */
   writeBatch: (
     writes: readonly RowWrite[],
   ) => Promise<readonly Result<Row, WriteFailure>[]>;
--- a/packages/streams/src/types.ts
+++ b/packages/streams/src/types.ts
@@ -1,4 +1,7 @@
-/** Frames of an engine's stream, and the events and actions of a stream session. */
+/**
+ * Frames of an engine's stream, and the events and actions of a stream session. A link is one connection to an engine that carries
+ * frames; the links of a session are numbered from 1.
+ */
 import type { BackendServerName, GenerationId, Ms } from "@stairgauge/common";
 import type { LinkFailure, Outcome } from "@stairgauge/outcomes";
 
