--- a/packages/standins/src/engineFaults.ts
+++ b/packages/standins/src/engineFaults.ts
@@ -1,4 +1,4 @@
-/** Faults that the stand-in engine's HTTP side commits on request, for tests and drills. */
+/** Faults of the stand-in engine's HTTP API, which tests and drills can switch on. */
 import { z } from "zod";
 import type { GenerationId } from "@stairgauge/common";
 import { encodeFrame } from "@stairgauge/engines";
@@ -17,16 +17,16 @@
     "silent",
     "close_early",
   ]),
-  /** Tokens of a stream that pass before the fault. */
+  /** Frames of a stream that are sent correctly before the fault. */
   afterTokens: z.int().min(0).default(0),
-  /** Streams that the fault still strikes. */
+  /** Number of next streams that get the fault. */
   times: z.int().min(1).default(1),
 });
 
-/** A fault as it was asked for. */
+/** A requested fault. */
 export type EngineFault = z.infer<typeof engineFaultSchema>;
 
-/** What a stream does with the next frame. */
+/** The text to write in place of a frame, and whether the stream then closes or stays silent. */
 export type FaultyWrite = Readonly<{
   text: string;
   thenClose: boolean;
@@ -42,7 +42,7 @@
   ...rest,
 });
 
-/** Renders a frame as the fault would have it. */
+/** Renders a frame with the fault applied. */
 export const renderFaultyFrame = (
   fault: EngineFault,
   frame: EngineFrame,
--- a/packages/standins/src/engineHost.ts
+++ b/packages/standins/src/engineHost.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the stand-in engine's model on a clock and keeps what it generated, so that readers can
- * attach, detach and resume from any index. The same code runs on a virtual clock and over HTTP.
+ * Runs the model of the stand-in engine on a clock and keeps the generated tokens, so that readers can attach, detach and
+ * resume from any index. It is used with a virtual clock as well as over HTTP.
  */
 import {
   Err,
@@ -16,7 +16,8 @@
 import type { EngineProfile } from "./engineTypes.js";
 import { computeLength, findPrefix, generateToken } from "./syntheticText.js";
 
-const FINISHED_KEPT_MS = 60_000 as Ms;
+/** How long a finished generation can still be read. */
+const FINISHED_RETENTION_MS = 60_000 as Ms;
 
 /** Why the stand-in engine refused a call. */
 export type EngineRefusal = Readonly<{
@@ -28,7 +29,7 @@
     | "order_too_late";
 }>;
 
-/** A reader of one generation; it pulls frames when told that there are more. */
+/** A reader of one generation. `notify` is called when there are new frames; the reader then gets them itself. */
 export type HostReader = Readonly<{ notify: () => void }>;
 
 type Generation = {
@@ -36,14 +37,18 @@
   readonly tokens: string[];
   readonly readers: Set<HostReader>;
   end: Extract<EngineFrame, { kind: "end" }> | undefined;
+  /** How often the last reader has detached. */
   detachCount: number;
 };
 
-/** What a host is made of. */
+/** Options of `createEngineHost`. */
 export type EngineHostOptions = Readonly<{
   profile: EngineProfile;
+  /** Names of the models that it serves. */
   models: readonly string[];
+  /** Whether orders with an outdated fencing token are refused. */
   checksOrders: boolean;
+  /** Seed of the answers' lengths. */
   seed: number;
   clock: Clock;
 }>;
@@ -77,7 +82,7 @@
       tokens: tokens.length,
       promptTokens: request.promptTokens,
     };
-    clock.setTimer(FINISHED_KEPT_MS, () => generations.delete(id));
+    clock.setTimer(FINISHED_RETENTION_MS, () => generations.delete(id));
   };
 
   const applyStep = (
@@ -116,7 +121,7 @@
     if (generation) notifyReaders(generation);
   };
 
-  const watchDetached = (id: GenerationId, generation: Generation) => {
+  const scheduleDetachedCancel = (id: GenerationId, generation: Generation) => {
     generation.detachCount += 1;
     const count = generation.detachCount;
     clock.setTimer(generation.request.detachGraceMs, () => {
@@ -169,7 +174,7 @@
       runSteps();
       return Ok(undefined);
     },
-    /** Attaches a reader; false where the generation is unknown. */
+    /** Attaches a reader; returns false if the generation is unknown. */
     attach: (id: GenerationId, reader: HostReader): boolean => {
       const generation = generations.get(id);
       generation?.readers.add(reader);
@@ -178,9 +183,9 @@
     detach: (id: GenerationId, reader: HostReader) => {
       const generation = generations.get(id);
       if (!generation?.readers.delete(reader)) return;
-      if (generation.readers.size === 0) watchDetached(id, generation);
+      if (generation.readers.size === 0) scheduleDetachedCancel(id, generation);
     },
-    /** The frame at an index: a token, the end, or nothing yet. "gone" once it was cancelled. */
+    /** Returns the frame at an index: a token, the end, or undefined if it does not exist yet; "gone" if the generation is unknown. */
     getFrame: (id: GenerationId, index: number): EngineFrame | "gone" | undefined => {
       const generation = generations.get(id);
       if (!generation) return "gone";
@@ -197,7 +202,7 @@
     setLeaving: (value: boolean) => {
       isLeaving = value;
     },
-    /** Counts for tests and people. */
+    /** Counts for tests and for inspection by hand. */
     getCounts: () => ({ generations: generations.size, started, orders }),
   };
 };
--- a/packages/standins/src/engineModel.ts
+++ b/packages/standins/src/engineModel.ts
@@ -1,8 +1,8 @@
 /**
- * The stand-in engine's model: continuous batching in limited memory, steppable and without time.
+ * Model of the stand-in engine: continuous batching in limited memory, advanced step by step, without a clock.
  *
- * Each step computes some prompt tokens, gives every running stream one token, and pushes the
- * least urgent streams aside when memory fills. A stream pushed aside recomputes all its tokens.
+ * Each step computes some prompt tokens, generates one token for every running stream whose prompt is computed, and preempts
+ * the least urgent streams when memory is full. A preempted stream recomputes its tokens, apart from a cached prefix.
  */
 import type { GenerationId } from "@stairgauge/common";
 import type { EngineProfile, SequenceStart, StepResult } from "./engineTypes.js";
@@ -18,17 +18,17 @@
   prefillLeft: number;
 };
 
-/** A stand-in engine without clock or network. */
+/** A stand-in engine without a clock or network. */
 export type EngineModel = ReturnType<typeof createEngineModel>;
 
-const getHeldTokens = (sequence: Sequence): number =>
+const getMemoryTokens = (sequence: Sequence): number =>
   sequence.promptTokens + sequence.generated;
 
-/** Most urgent first, then first come. */
+/** Orders by urgency, most urgent first, then by arrival. */
 const compareUrgency = (a: Sequence, b: Sequence): number =>
   a.priority - b.priority || a.order - b.order;
 
-/** Creates an engine that holds nothing. */
+/** Creates an engine without generations. */
 export const createEngineModel = (profile: EngineProfile) => {
   const sequences = new Map<GenerationId, Sequence>();
   const cache = createPrefixCache(profile.prefixCacheTokens);
@@ -40,20 +40,20 @@
     [...sequences.values()].filter((sequence) => sequence.state === state);
 
   const releaseMemory = (sequence: Sequence, state: SequenceState) => {
-    if (sequence.state === "running") usedTokens -= getHeldTokens(sequence);
+    if (sequence.state === "running") usedTokens -= getMemoryTokens(sequence);
     sequence.state = state;
   };
 
   const admitWaiting = (running: Sequence[]) => {
     const waiting = listByState("waiting").sort(compareUrgency);
     for (const sequence of waiting) {
-      const needed = getHeldTokens(sequence) + 1;
+      const needed = getMemoryTokens(sequence) + 1;
       if (running.length >= profile.maxRunning) return;
       if (usedTokens + needed > profile.memoryTokens) return;
       const cached = cache.touch(sequence.prefix);
-      sequence.prefillLeft = Math.max(1, getHeldTokens(sequence) - cached);
+      sequence.prefillLeft = Math.max(1, getMemoryTokens(sequence) - cached);
       sequence.state = "running";
-      usedTokens += getHeldTokens(sequence);
+      usedTokens += getMemoryTokens(sequence);
       running.push(sequence);
     }
   };
@@ -77,7 +77,7 @@
     return victim;
   };
 
-  const makeRoom = (running: Sequence[]): readonly GenerationId[] => {
+  const preemptForMemory = (running: Sequence[]): readonly GenerationId[] => {
     const preempted: GenerationId[] = [];
     const countReady = () => running.filter((one) => one.prefillLeft === 0).length;
     while (usedTokens + countReady() > profile.memoryTokens) {
@@ -91,7 +91,7 @@
   const step = (): StepResult => {
     const running = listByState("running");
     admitWaiting(running);
-    const preempted = makeRoom(running);
+    const preempted = preemptForMemory(running);
     const ready = running.filter((sequence) => sequence.prefillLeft === 0);
     const computed = computePrompts(running);
     const finished: GenerationId[] = [];
@@ -115,7 +115,7 @@
   };
 
   return {
-    /** Adds a generation to the waiting ones. */
+    /** Adds a waiting generation. */
     start: (start: SequenceStart) => {
       sequences.set(start.generation, {
         ...start,
@@ -125,14 +125,14 @@
         prefillLeft: 0,
       });
     },
-    /** Forgets a generation. */
+    /** Removes a generation, if it exists. */
     cancel: (generation: GenerationId) => {
       const sequence = sequences.get(generation);
       if (!sequence) return;
       releaseMemory(sequence, "paused");
       sequences.delete(generation);
     },
-    /** Takes a generation out of the batch, or lets it wait to be taken in again. */
+    /** Takes a generation out of the batch, or puts it back among the waiting ones. */
     setPaused: (generation: GenerationId, isPaused: boolean) => {
       const sequence = sequences.get(generation);
       if (!sequence || isPaused === (sequence.state === "paused")) return;
@@ -140,7 +140,7 @@
     },
     /** Runs one decoding step. */
     step,
-    /** Whether a step would do anything. */
+    /** Whether any generation is running or waiting. */
     hasWork: () =>
       [...sequences.values()].some((sequence) => sequence.state !== "paused"),
     /** Counts for the load report. */
--- a/packages/standins/src/engineRoutes.ts
+++ b/packages/standins/src/engineRoutes.ts
@@ -1,4 +1,4 @@
-/** The stand-in engine over HTTP. */
+/** HTTP API of the stand-in engine. */
 import type { ServerResponse } from "node:http";
 import type { Clock, GenerationId, Ms, Timer } from "@stairgauge/common";
 import {
@@ -39,6 +39,7 @@
   sendJson(response, STATUS_BY_REFUSAL[kind], { error, outcome: "not_run" });
 };
 
+/** One open stream: `from` is the index of the first frame, `fault` strikes once `fault.afterTokens` frames are written. */
 type StreamOptions = Readonly<{
   host: EngineHost;
   clock: Clock;
@@ -48,7 +49,7 @@
   fault: EngineFault;
 }>;
 
-/** Writes a generation's frames to one reader, at the reader's pace. */
+/** Writes a generation's frames to one response and pauses while the reader is slower. */
 const streamFrames = (options: StreamOptions) => {
   const { host, clock, id, response, fault } = options;
   let index = options.from;
@@ -72,8 +73,8 @@
       close();
       return false;
     }
-    const isStruck = fault.kind !== "none" && written === fault.afterTokens;
-    if (isStruck) {
+    const isFaultDue = fault.kind !== "none" && written === fault.afterTokens;
+    if (isFaultDue) {
       const write = renderFaultyFrame(fault, frame);
       writeText(write.text);
       isSilent = write.thenSilent;
@@ -87,14 +88,14 @@
     response.end();
     return false;
   };
-  const pump = () => {
+  const writeAvailable = () => {
     while (!isBlocked && !isSilent && !response.destroyed && writeNext());
   };
-  const reader = { notify: pump };
-  const beat = () => {
+  const reader = { notify: writeAvailable };
+  const scheduleHeartbeat = () => {
     heartbeat = clock.setTimer(HEARTBEAT_MS, () => {
       if (!isBlocked && !isSilent) writeText(encodeFrame({ kind: "heartbeat" }));
-      beat();
+      scheduleHeartbeat();
     });
   };
 
@@ -106,14 +107,14 @@
   response.flushHeaders();
   response.on("drain", () => {
     isBlocked = false;
-    pump();
+    writeAvailable();
   });
   response.on("close", close);
-  beat();
-  pump();
+  scheduleHeartbeat();
+  writeAvailable();
 };
 
-/** Routes of one stand-in engine. */
+/** Creates the routes of one stand-in engine. */
 export const createEngineRoutes = (
   host: EngineHost,
   clock: Clock,
@@ -216,9 +217,9 @@
       method: "PUT",
       path: "/standin/v1/fault",
       handle: async (exchange) => {
-        const asked = await readBodyAs(exchange, engineFaultSchema, clock);
-        if (!asked) return;
-        fault = asked;
+        const body = await readBodyAs(exchange, engineFaultSchema, clock);
+        if (!body) return;
+        fault = body;
         sendJson(exchange.response, 200, {});
       },
     },
--- a/packages/standins/src/engineTypes.ts
+++ b/packages/standins/src/engineTypes.ts
@@ -1,38 +1,40 @@
 /** Types of the stand-in engine. */
 import type { GenerationId } from "@stairgauge/common";
 
-/** What the stand-in engine is like. */
+/** Capacity and speed of a stand-in engine. */
 export type EngineProfile = Readonly<{
+  /** Memory for running generations, in tokens. */
   memoryTokens: number;
+  /** Maximum number of generations in the batch. */
   maxRunning: number;
-  /** Fixed part of a decoding step, milliseconds. */
+  /** Fixed duration of a decoding step, in milliseconds. */
   stepBaseMs: number;
-  /** Part of a decoding step for each stream in the batch, milliseconds. */
+  /** Additional duration for each stream that gains a token, in milliseconds. */
   stepPerStreamMs: number;
-  /** Cost of computing one prompt token, milliseconds. */
+  /** Additional duration for each prompt token computed, in milliseconds. */
   prefillPerTokenMs: number;
-  /** Most prompt tokens that one step computes. */
+  /** Maximum number of prompt tokens computed in one step. */
   prefillChunkTokens: number;
-  /** Memory kept for shared prompt prefixes, tokens. */
+  /** Size of the cache of prompt prefixes, in tokens. */
   prefixCacheTokens: number;
 }>;
 
-/** A generation as the engine model sees it. */
+/** Start of a generation in the engine model. */
 export type SequenceStart = Readonly<{
   generation: GenerationId;
   /** 0 is the most urgent. */
   priority: number;
   promptTokens: number;
-  /** Tokens that it will generate; hidden from everyone but the engine. */
+  /** Number of tokens that it will generate; clients and boxes don't get this number. */
   length: number;
-  /** Identity and length of the part of the prompt that others may share. */
+  /** Hash and length of the start of the prompt, which other prompts may share. */
   prefix: Readonly<{ hash: string; tokens: number }>;
 }>;
 
-/** What one step did. */
+/** Result of one step. */
 export type StepResult = Readonly<{
   durationMs: number;
-  /** Generations that gained one token each. */
+  /** Generations that each gained one token, including finished ones. */
   advanced: readonly GenerationId[];
   finished: readonly GenerationId[];
   preempted: readonly GenerationId[];
--- a/packages/standins/src/exampleSite.ts
+++ b/packages/standins/src/exampleSite.ts
@@ -1,4 +1,4 @@
-/** An example site: a bundle, its operators' sign-off, and the stand-ins that fit it. */
+/** The example site: its bundle, the operators' sign-off, and the profile of its stand-in engines. */
 import {
   createHash,
   createPrivateKey,
@@ -19,13 +19,13 @@
 import type { EngineProfile } from "./engineTypes.js";
 import type { PlatformModel } from "./platformModel.js";
 
-/** Key of the example workspace. For the example only: it is printed and published here. */
+/** API key of the example workspace. It is public, so it must not be used elsewhere. */
 export const EXAMPLE_KEY = "sg-example-kerlann-key";
 
-/** A key of a second workspace, for tests of what one may not reach of another. */
+/** API key of a second workspace, for tests that one workspace can't access another's data. */
 export const OTHER_EXAMPLE_KEY = "sg-example-other-key";
 
-/** The engine that the example runs on: small, so that its memory can be seen to fill. */
+/** Profile of the example's engines; their memory is small so that it fills during a demonstration. */
 export const EXAMPLE_ENGINE: EngineProfile = {
   memoryTokens: 24_000,
   maxRunning: 32,
@@ -40,7 +40,7 @@
 export type ExampleAddresses = Readonly<{
   engines: readonly string[];
   services: readonly string[];
-  /** Engines as large as a benchmark needs, instead of the example's. */
+  /** Whether the bundle lists engines with the large capacity that benchmarks need. */
   isRoomy?: boolean;
 }>;
 
@@ -117,23 +117,23 @@
   return result.val;
 };
 
-/** A signed head with its content, and the operators who signed it. */
+/** A signed bundle head, the bundle's content, and the operators who signed it. */
 export type SignedBundle = Readonly<{
   head: BundleHead;
   content: string;
   trusted: readonly TrustedOperator[];
 }>;
 
-/** DER head of an Ed25519 private key in PKCS 8; the 32 bytes of the key follow. */
-const ED25519_PKCS8_HEAD = "302e020100300506032b657004220420";
+/** DER prefix of an Ed25519 private key in PKCS 8, in hex; the 32 bytes of the key follow. */
+const ED25519_PKCS8_PREFIX = "302e020100300506032b657004220420";
 
-/** The example operators' key: made from published text, so good for examples only. */
+/** Creates an example operator's key from the operator's name. Anybody can do the same, so the key is for examples only. */
 const createExampleOperatorKey = (operator: string): KeyObject => {
   const seed = createHash("sha256")
     .update(`stairgauge example operator ${operator}`)
     .digest();
   return createPrivateKey({
-    key: Buffer.concat([Buffer.from(ED25519_PKCS8_HEAD, "hex"), seed]),
+    key: Buffer.concat([Buffer.from(ED25519_PKCS8_PREFIX, "hex"), seed]),
     format: "der",
     type: "pkcs8",
   });
@@ -142,7 +142,7 @@
 const toPem = (key: KeyObject, type: "spki" | "pkcs8"): string =>
   key.export({ type, format: "pem" }).toString();
 
-/** Signs a bundle off as the example's operators: one proposes, one approves. */
+/** Signs a bundle as the example's operators: one proposes, one approves. */
 export const signExampleBundle = (bundle: Bundle, version: number): SignedBundle => {
   const content = renderCanonical(bundle);
   const digest = computeDigest(content);
@@ -156,7 +156,7 @@
   };
 };
 
-/** Puts a signed example bundle into force on a stand-in platform, as version 1. */
+/** Stores the signed bundle on a stand-in platform as version 1; returns the operators whom boxes must trust. */
 export const seedExampleBundle = (
   platform: PlatformModel,
   bundle: Bundle,
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for the systems around stairgauge, for tests, measurements and the first run. */
+/** Stand-ins for the systems that stairgauge works with, for tests, benchmarks and trying it out. */
 export { createEngineModel } from "./engineModel.js";
 export type { EngineModel } from "./engineModel.js";
 export { createEngineHost } from "./engineHost.js";
@@ -50,22 +50,22 @@
 export type { CrashingKind, CrashingServers } from "./usersPlatform/crashingServers.js";
 export { countSentWhileLeaving, LEAVING_MS } from "./usersPlatform/leavingRule.js";
 export type { LeavingArrival } from "./usersPlatform/leavingRule.js";
-export { startSignServers } from "./usersPlatform/signServers.js";
+export { startSignServers } from "./usersPlatform/signalServers.js";
 export type {
   SignArrival,
   SignServerKind,
   SignServers,
   LimitNaming,
   SayingChoice,
-  ServerSaying,
-} from "./usersPlatform/signServers.js";
+  AnswerSignal,
+} from "./usersPlatform/signalServers.js";
 export {
   computeAllowed,
   countMostFromTold,
   LIMIT_CONTACT_MS,
 } from "./usersPlatform/limitRule.js";
 export type { CountedArrival } from "./usersPlatform/limitRule.js";
-export { countMostInRest, MAX_IN_REST } from "./usersPlatform/restRule.js";
-export type { RestArrival } from "./usersPlatform/restRule.js";
+export { countMostInRest, MAX_IN_REST } from "./usersPlatform/backoffRule.js";
+export type { RestArrival } from "./usersPlatform/backoffRule.js";
 export { formatWireAsk, startWireEngine } from "./usersPlatform/wireEngine.js";
 export type { WireAsk, WireBirthPlace } from "./usersPlatform/wireEngine.js";
--- a/packages/standins/src/memoryEngines.ts
+++ b/packages/standins/src/memoryEngines.ts
@@ -1,4 +1,4 @@
-/** Stand-in engines without network: their hosts behind the engine client's interface, with faults. */
+/** Stand-in engines in memory, without network. They implement the interface of the engine client, and tests can set faults. */
 import {
   Err,
   Ok,
@@ -24,22 +24,22 @@
 
 type OpenLink = Readonly<{
   address: EngineAddress;
-  pump: () => void;
+  sendAvailable: () => void;
   cut: () => void;
 }>;
 
-/** Engines in this process, and the faults that can be put on them. */
+/** Engines in this process, and the faults that a test can set. */
 export type MemoryEngines = Readonly<{
   client: EngineClient;
-  /** Puts an engine at an address; undefined kills the one there. */
+  /** Sets the engine at an address; undefined removes it. Links to the address break. */
   setHost: (address: EngineAddress, host: EngineHost | undefined) => void;
-  /** While stalled nothing passes; afterwards what waited is delivered. */
+  /** While stalled, nothing is delivered; afterwards the delayed frames of open links are. */
   setStalled: (address: EngineAddress, isStalled: boolean) => void;
-  /** Freezes the reports that boxes read, as if they came very late. */
+  /** While frozen, each engine's last load report that was read is returned again, as if reports came very late. */
   setReportsFrozen: (isFrozen: boolean) => void;
-  /** Breaks the links to an engine; it goes on generating. */
+  /** Breaks all links to an engine; the engine keeps generating. */
   cutLinks: (address: EngineAddress) => void;
-  /** Delivers every n-th frame twice; 0 for none. */
+  /** Delivers every n-th frame twice; 0 for no repeats. */
   repeatFrames: (everyNth: number) => void;
 }>;
 
@@ -53,7 +53,7 @@
         isLeaving: refusal.kind === "leaving",
       };
 
-/** Creates an empty set of engines. `reportLag` is the age of every load report. */
+/** Creates an empty set of engines. `reportLag` is how old a load report is when it arrives. */
 export const createMemoryEngines = (options: {
   readonly clock: Clock;
   readonly reportLag: Ms;
@@ -95,7 +95,7 @@
       close();
       handlers.onEnd(failure);
     };
-    const pump = () => {
+    const sendAvailable = () => {
       while (isOpen && !isPaused && !stalled.has(address)) {
         const frame = host.getFrame(generation, index);
         if (frame === undefined) return;
@@ -108,22 +108,22 @@
         if (frame.kind === "end") end(undefined);
       }
     };
-    const beat = () => {
+    const scheduleHeartbeat = () => {
       clock.setTimer(HEARTBEAT_MS, () => {
         if (!isOpen) return;
         if (!stalled.has(address)) handlers.onFrame({ kind: "heartbeat" });
-        beat();
+        scheduleHeartbeat();
       });
     };
-    const reader = { notify: pump };
-    const link: OpenLink = { address, pump, cut: () => end(DIED) };
+    const reader = { notify: sendAvailable };
+    const link: OpenLink = { address, sendAvailable, cut: () => end(DIED) };
 
     links.add(link);
     if (!host.attach(generation, reader)) {
       clock.setTimer(0 as Ms, () => end({ kind: "generation_gone" }));
     } else {
-      beat();
-      clock.setTimer(0 as Ms, pump);
+      scheduleHeartbeat();
+      clock.setTimer(0 as Ms, sendAvailable);
     }
     return {
       pause: () => {
@@ -131,7 +131,7 @@
       },
       resume: () => {
         isPaused = false;
-        pump();
+        sendAvailable();
       },
       close: () => {
         if (isOpen) close();
@@ -139,14 +139,14 @@
     };
   };
 
-  /** A link that ends with a failure after the caller has returned. */
+  /** Returns a link that ends with the failure after the caller has returned. */
   const failLater = (failure: LinkFailure, handlers: LinkHandlers): EngineLink => {
     const timer = clock.setTimer(0 as Ms, () => handlers.onEnd(failure));
     return { pause: () => undefined, resume: () => undefined, close: timer.cancel };
   };
 
-  /** A link over which nothing ever comes. */
-  const openSilent = (): EngineLink => ({
+  /** Returns a link that never delivers anything. */
+  const openSilentLink = (): EngineLink => ({
     pause: () => undefined,
     resume: () => undefined,
     close: () => undefined,
@@ -174,7 +174,7 @@
     openStart: (address, request, handlers) => {
       const host = hosts.get(address);
       if (!host) return failLater(UNREACHABLE, handlers);
-      if (stalled.has(address)) return openSilent();
+      if (stalled.has(address)) return openSilentLink();
       const started = host.start(request);
       if (started.err) return failLater(toFailure(started.val), handlers);
       return openLink({
@@ -188,7 +188,7 @@
     openResume: (address, { generation, from }, handlers) => {
       const host = hosts.get(address);
       if (!host) return failLater(UNREACHABLE, handlers);
-      if (stalled.has(address)) return openSilent();
+      if (stalled.has(address)) return openSilentLink();
       return openLink({ address, host, generation, from, handlers });
     },
     cancel: (address, { generation, onlyIfDetached }) =>
@@ -231,7 +231,7 @@
     setStalled: (address, isStalled) => {
       if (isStalled) stalled.add(address);
       else stalled.delete(address);
-      for (const link of [...links]) if (link.address === address) link.pump();
+      for (const link of [...links]) if (link.address === address) link.sendAvailable();
     },
     setReportsFrozen: (isFrozen) => {
       areReportsFrozen = isFrozen;
--- a/packages/standins/src/memoryPlatform.ts
+++ b/packages/standins/src/memoryPlatform.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform without network: the same model behind the platform's interface. */
+/** The stand-in platform in memory, without network: it implements the platform's interface on the model. */
 import { Err, Ok, type Clock, type Ms, type Result } from "@stairgauge/common";
 import type {
   Platform,
@@ -9,10 +9,10 @@
 } from "@stairgauge/stores";
 import type { PlatformModel } from "./platformModel.js";
 
-const DOWN = { kind: "store_unavailable", detail: "down" } as const;
-const LOST = { kind: "answer_lost", detail: "lost" } as const;
+const DOWN_FAILURE = { kind: "store_unavailable", detail: "down" } as const;
+const ANSWER_LOST_FAILURE = { kind: "answer_lost", detail: "lost" } as const;
 
-/** Creates a platform over a model; the model's mode decides how it behaves. */
+/** Creates a platform on a model; the model's mode sets its faults. */
 export const createMemoryPlatform = (model: PlatformModel, clock: Clock): Platform => {
   const wait = (): Promise<void> => {
     const { delayMs } = model.getMode();
@@ -22,7 +22,7 @@
     });
   };
   const read = async <T>(get: () => T): Promise<Result<T, ReadFailure>> => {
-    if (model.getMode().isDown) return Err(DOWN);
+    if (model.getMode().isDown) return Err(DOWN_FAILURE);
     await wait();
     return Ok(get());
   };
@@ -34,10 +34,10 @@
   const writeBatch = async (
     writes: readonly RowWrite[],
   ): Promise<readonly Result<Row, WriteFailure>[]> => {
-    if (model.getMode().isDown) return writes.map(() => Err(DOWN));
+    if (model.getMode().isDown) return writes.map(() => Err(DOWN_FAILURE));
     await wait();
     const results = writes.map(writeRow);
-    return model.takeLostAnswer() ? writes.map(() => Err(LOST)) : results;
+    return model.takeLostAnswer() ? writes.map(() => Err(ANSWER_LOST_FAILURE)) : results;
   };
 
   return {
@@ -49,10 +49,10 @@
     objects: {
       read: (name) => read(() => model.readObject(name)),
       write: async (name, content) => {
-        if (model.getMode().isDown) return Err(DOWN);
+        if (model.getMode().isDown) return Err(DOWN_FAILURE);
         await wait();
         model.writeObject(name, content);
-        return model.takeLostAnswer() ? Err(LOST) : Ok(undefined);
+        return model.takeLostAnswer() ? Err(ANSWER_LOST_FAILURE) : Ok(undefined);
       },
     },
     boxes: { read: () => read(model.listServers) },
--- a/packages/standins/src/platformModel.ts
+++ b/packages/standins/src/platformModel.ts
@@ -1,24 +1,24 @@
-/** The stand-in platform: a table with compare-and-set, an object store and a box list. */
+/** Model of the stand-in platform: a table with compare-and-set, an object store and a server list. */
 import type { ListedServer, Row, RowKey, RowWrite } from "@stairgauge/stores";
 
 /** How the stand-in platform behaves. */
 export type PlatformMode = Readonly<{
-  /** Refuses everything while down. */
+  /** Whether every call is refused. */
   isDown: boolean;
-  /** Delay of every answer, milliseconds. */
+  /** Delay of every answer, in milliseconds. */
   delayMs: number;
-  /** Writes whose effect stands while their answer is lost. */
+  /** Number of next writes that take effect but whose answers are lost. */
   answersToLose: number;
-  /** Writes a second beyond which writes wait; 0 means no limit. */
+  /** Writes beyond this rate are delayed; 0 means no limit. */
   writesPerSecond: number;
 }>;
 
-/** Result of one write. */
+/** Result of one write; a conflict holds the present row, undefined if there is none. */
 export type ModelWriteResult = Readonly<
   { kind: "written"; row: Row } | { kind: "conflict"; current: Row | undefined }
 >;
 
-/** A stand-in platform without network. */
+/** A stand-in platform in memory, without network. */
 export type PlatformModel = ReturnType<typeof createPlatformModel>;
 
 const HEALTHY: PlatformMode = {
@@ -28,7 +28,7 @@
   writesPerSecond: 0,
 };
 
-const toPlace = ({ table, key }: RowKey): string => `${table}\n${key}`;
+const toMapKey = ({ table, key }: RowKey): string => `${table}\n${key}`;
 
 /** Creates an empty platform. */
 export const createPlatformModel = () => {
@@ -40,9 +40,9 @@
   let writes = 0;
 
   return {
-    readRow: (at: RowKey): Row | undefined => rows.get(toPlace(at)),
+    readRow: (at: RowKey): Row | undefined => rows.get(toMapKey(at)),
     writeRow: ({ at, value, expected }: RowWrite): ModelWriteResult => {
-      const current = rows.get(toPlace(at));
+      const current = rows.get(toMapKey(at));
       const fits =
         expected.kind === "absent"
           ? current === undefined
@@ -51,7 +51,7 @@
       revision += 1;
       writes += 1;
       const row = { value, revision };
-      rows.set(toPlace(at), row);
+      rows.set(toMapKey(at), row);
       return { kind: "written", row };
     },
     readObject: (name: string): string | undefined => objects.get(name),
@@ -67,7 +67,7 @@
     setMode: (change: Partial<PlatformMode>) => {
       mode = { ...mode, ...change };
     },
-    /** Takes one of the answers that are to be lost; false when none is. */
+    /** Returns whether the present answer is to be lost, and decrements `answersToLose` if so. */
     takeLostAnswer: (): boolean => {
       if (mode.answersToLose <= 0) return false;
       mode = { ...mode, answersToLose: mode.answersToLose - 1 };
--- a/packages/standins/src/platformRoutes.ts
+++ b/packages/standins/src/platformRoutes.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform over HTTP. */
+/** HTTP API of the stand-in platform. */
 import { z } from "zod";
 import { waitFor, type Clock, type Ms } from "@stairgauge/common";
 import { readBody, sendJson, type HttpExchange, type HttpRoute } from "@stairgauge/http";
@@ -27,14 +27,14 @@
   }),
 );
 
-/** Routes of the stand-in platform. */
+/** Creates the routes of the stand-in platform. */
 export const createPlatformRoutes = (
   model: PlatformModel,
   clock: Clock,
 ): readonly HttpRoute[] => {
   const pacer = createWritePacer(clock);
 
-  /** Serves a call as the platform's mode would have it. */
+  /** Applies the platform's mode to a call: refusal, delay, write rate and lost answers. */
   const withMode =
     (kind: "read" | "write", serve: (exchange: HttpExchange) => Promise<unknown>) =>
     async (exchange: HttpExchange) => {
--- a/packages/standins/src/prefixCache.ts
+++ b/packages/standins/src/prefixCache.ts
@@ -1,14 +1,14 @@
-/** The stand-in engine's prefix cache: least recently used prefixes leave first. */
+/** Prefix cache of the stand-in engine; it evicts the least recently used prefixes first. */
 import type { CacheEvent } from "@stairgauge/engines";
 
 const MAX_EVENTS_KEPT = 1_000;
 
 type Prefix = Readonly<{ hash: string; tokens: number }>;
 
-/** Creates a cache that holds up to `capacityTokens`. */
+/** Creates an empty cache with a capacity of `capacityTokens`. */
 export const createPrefixCache = (capacityTokens: number) => {
-  /** Insertion order is the order of use, oldest first. */
-  const held = new Map<string, number>();
+  /** Tokens by prefix hash; the insertion order is the order of use, oldest first. */
+  const prefixes = new Map<string, number>();
   let events: CacheEvent[] = [];
   let usedTokens = 0;
   let sequence = 0;
@@ -19,31 +19,31 @@
     if (events.length > MAX_EVENTS_KEPT) events = events.slice(MAX_EVENTS_KEPT / 2);
   };
   const evictOldest = () => {
-    const oldest = held.entries().next().value;
+    const oldest = prefixes.entries().next().value;
     if (!oldest) return;
     const [hash, tokens] = oldest;
-    held.delete(hash);
+    prefixes.delete(hash);
     usedTokens -= tokens;
     record("evicted", hash);
   };
 
   return {
-    /** Uses a prefix and keeps it; returns how many of its tokens were there already. */
+    /** Marks a prefix as used and stores it if it fits; returns how many of its tokens were cached before. */
     touch: (prefix: Prefix): number => {
-      const cached = held.get(prefix.hash);
+      const cached = prefixes.get(prefix.hash);
       if (cached !== undefined) {
-        held.delete(prefix.hash);
-        held.set(prefix.hash, cached);
+        prefixes.delete(prefix.hash);
+        prefixes.set(prefix.hash, cached);
         return cached;
       }
       if (prefix.tokens === 0 || prefix.tokens > capacityTokens) return 0;
       while (usedTokens + prefix.tokens > capacityTokens) evictOldest();
-      held.set(prefix.hash, prefix.tokens);
+      prefixes.set(prefix.hash, prefix.tokens);
       usedTokens += prefix.tokens;
       record("stored", prefix.hash);
       return 0;
     },
-    /** Changes after a sequence number. */
+    /** Returns the recorded changes after a sequence number; the oldest ones are discarded. */
     listEvents: (after: number): readonly CacheEvent[] =>
       events.filter((event) => event.sequence > after),
   };
--- a/packages/standins/src/readBodyAs.ts
+++ b/packages/standins/src/readBodyAs.ts
@@ -1,4 +1,4 @@
-/** Reads a stand-in's request body by schema and answers bad ones itself. */
+/** Reads and validates the request bodies of the stand-ins. */
 import type { z } from "zod";
 import type { Clock } from "@stairgauge/common";
 import {
@@ -15,7 +15,7 @@
   totalTimeout: BODY_TOTAL_TIMEOUT_MS,
 };
 
-/** The decoded body, or undefined once a refusal was sent. */
+/** Returns the body if it fits the schema; otherwise sends 400 and returns undefined. */
 export const readBodyAs = async <T>(
   { request, response }: HttpExchange,
   schema: z.ZodType<T>,
--- a/packages/standins/src/serviceRoutes.ts
+++ b/packages/standins/src/serviceRoutes.ts
@@ -1,4 +1,4 @@
-/** A stand-in plain service: look-ups that may be repeated, and contacts that may not. */
+/** HTTP API of a stand-in plain service, with searches, which may be repeated, and contacts, which may not. */
 import { z } from "zod";
 import type { Clock, Ms } from "@stairgauge/common";
 import { readBody, sendJson, type HttpExchange, type HttpRoute } from "@stairgauge/http";
@@ -16,11 +16,12 @@
 
 const NO_FAULT: ServiceFault = { kind: "none", times: 1 };
 
-/** Routes of one server of a stand-in plain service. */
+/** Creates the routes of one server of the service; `server` is its name. */
 export const createServiceRoutes = (
   server: string,
   clock: Clock,
 ): readonly HttpRoute[] => {
+  /** Number of runs by call. */
   const runs = new Map<string, number>();
   let fault: ServiceFault = NO_FAULT;
 
@@ -40,7 +41,7 @@
     );
   const recordRun = (name: string) => runs.set(name, (runs.get(name) ?? 0) + 1);
 
-  /** Runs a call unless the fault prevents it, and answers unless the fault loses the answer. */
+  /** Runs and answers a call. A fault may refuse it, lose its answer, or leave it without an answer. */
   const serve = (exchange: HttpExchange, name: string, answer: unknown) => {
     const kind = takeFault();
     if (kind === "refuse") return refuse(exchange, false);
@@ -86,9 +87,9 @@
       method: "PUT",
       path: "/standin/v1/fault",
       handle: async (exchange) => {
-        const asked = await readBodyAs(exchange, faultSchema, clock);
-        if (!asked) return;
-        fault = asked;
+        const body = await readBodyAs(exchange, faultSchema, clock);
+        if (!body) return;
+        fault = body;
         sendJson(exchange.response, 200, {});
       },
     },
--- a/packages/standins/src/standinServer.ts
+++ b/packages/standins/src/standinServer.ts
@@ -1,4 +1,4 @@
-/** Serves a stand-in's routes on a loopback port. */
+/** HTTP server of the stand-ins. */
 import {
   createHttpServer,
   sendJson,
@@ -6,7 +6,7 @@
   type HttpServer,
 } from "@stairgauge/http";
 
-/** Creates the server of a stand-in. */
+/** Creates an HTTP server for a stand-in's routes; an unknown route gets 404. */
 export const createStandinServer = (routes: readonly HttpRoute[]): HttpServer =>
   createHttpServer({
     routes,
--- a/packages/standins/src/syntheticText.ts
+++ b/packages/standins/src/syntheticText.ts
@@ -1,4 +1,4 @@
-/** Text and lengths of the stand-in engine: repeatable, and heavy-tailed in length. */
+/** Deterministic texts of the stand-in engine, with a heavy-tailed distribution of lengths. */
 import { createHash } from "node:crypto";
 import type { GenerationId } from "@stairgauge/common";
 import type { StartRequest } from "@stairgauge/engines";
@@ -7,14 +7,16 @@
   "a bright quiet flat near the old port with two rooms and one small balcony over the river freshly painted ready in spring call after noon".split(
     " ",
   );
+/** Median length of an answer in tokens, and standard deviation of the length's logarithm. */
 const MEDIAN_LENGTH = 120;
 const LENGTH_SPREAD = 0.9;
 const PREFIX_CHARACTERS = 256;
 const UINT32_RANGE = 2 ** 32;
-const LENGTH_MARK = /\[length=(\d{1,6})\]/;
+const LENGTH_MARKER = /\[length=(\d{1,6})\]/;
 const CHARACTERS_PER_TOKEN = 4;
 
-const hashToUnits = (text: string): readonly [number, number] => {
+/** Returns two uniform numbers between 0 and 1 from the text's hash; the first is never 0, as its logarithm is taken. */
+const hashToUniforms = (text: string): readonly [number, number] => {
   const digest = createHash("sha256").update(text).digest();
   return [
     (digest.readUInt32LE(0) + 1) / (UINT32_RANGE + 1),
@@ -23,18 +25,18 @@
 };
 
 /**
- * Length of the answer to a prompt: log-normal by the prompt's hash. A mark `[length=N]` in the
- * prompt sets it, for tests and demonstrations.
+ * Returns the length of the answer to a prompt in tokens. It follows from the hash of seed and prompt, with a log-normal
+ * distribution. A marker `[length=N]` in the prompt sets it, for tests and demonstrations.
  */
 export const computeLength = (seed: number, prompt: string): number => {
-  const marked = LENGTH_MARK.exec(prompt)?.[1];
+  const marked = LENGTH_MARKER.exec(prompt)?.[1];
   if (marked !== undefined) return Math.max(1, Number(marked));
-  const [u, v] = hashToUnits(`${seed}\n${prompt}`);
+  const [u, v] = hashToUniforms(`${seed}\n${prompt}`);
   const normal = Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * v);
   return Math.max(1, Math.round(MEDIAN_LENGTH * Math.exp(LENGTH_SPREAD * normal)));
 };
 
-/** The token at an index; it depends on the generation, so that a spliced answer shows. */
+/** Returns the token at an index. It depends on the generation id, so that tokens of another generation in an answer are noticed. */
 export const generateToken = (id: GenerationId, index: number): string => {
   const start = id.charCodeAt(0) + 31 * id.charCodeAt(id.length - 1);
   const stride = 1 + (id.charCodeAt(id.length >> 1) % (WORDS.length - 1));
@@ -42,7 +44,7 @@
   return index === 0 ? word : ` ${word}`;
 };
 
-/** The part of a prompt that later prompts may share. */
+/** Returns hash and length of the start of a prompt, which later prompts may share. */
 export const findPrefix = (
   request: StartRequest,
 ): Readonly<{ hash: string; tokens: number }> => {
--- a/packages/standins/src/usersPlatform/crashingServers.ts
+++ b/packages/standins/src/usersPlatform/crashingServers.ts
@@ -1,11 +1,12 @@
 /**
- * Stand-ins of backend servers that a request can crash: one whose body says so ends the server soon after it begins to run,
- * with all connections reset; the server is back a little later, at its address, as another start of the same name.
+ * Stand-in backend servers that a request can crash. A request whose body contains `CRASHING_BODY` stops the server shortly
+ * after the request starts, and resets all connections. The server then restarts with the same id and address and a later
+ * start time.
  */
 import { createServer, type Server, type Socket } from "node:net";
 import { HEADER, SERVER_PATH } from "@stairgauge/platform";
 import { HEALTH_PATH, listenOnLoopback } from "./loopback.js";
-import { sendPlainAnswer, sendStreamEvents, sendWholeStream } from "./soundAnswers.js";
+import { sendPlainAnswer, sendStreamEvents, sendWholeStream } from "./rawAnswers.js";
 import {
   findHeader,
   IDLE_REPORT,
@@ -13,42 +14,42 @@
   sendWireJson,
 } from "./wireRequests.js";
 
-/** A body that holds this ends the server that runs it. */
+/** A request whose body contains this text crashes the server that runs it. */
 export const CRASHING_BODY = "ends its server";
 
-/** Time from the begin of such a request to the end of its server, and from that to the next start. */
-const ENDS_AFTER_MS = 30;
-const BACK_AFTER_MS = 300;
+/** Time from the start of such a request to the crash, and from the crash to the restart. */
+const CRASH_DELAY_MS = 30;
+const RESTART_DELAY_MS = 300;
 
-/** Time that a sound plain request takes. */
-const PLAIN_MS = 20;
+/** Duration of a plain request that does not crash the server. */
+const PLAIN_DURATION_MS = 20;
 
-/** Start that the first of all starts comes after, in Unix milliseconds. */
-const FIRST_BORN = 1_700_000_000_000;
+/** Each server's first start time is 1 ms after this, in Unix milliseconds. */
+const BASE_START_TIME = 1_700_000_000_000;
 
-/** What the servers are. */
+/** Kind of the servers: engines, which stream, or plain servers. */
 export type CrashingKind = "engine" | "plain";
 
-/** How a fleet of such servers is listed. */
+/** Options of `startCrashingServers`. */
 export type CrashingServersOptions = Readonly<{
   kind: CrashingKind;
   count: number;
-  /** Puts a server's entry; called again at each start. */
+  /** Writes a server's directory entry; called at each start. `born` is the start time in Unix milliseconds. */
   putEntry: (id: string, address: string, born: number) => void;
 }>;
 
-/** The servers, and what was done to them. */
+/** The running servers, with counts of what happened to them. */
 export type CrashingServers = Readonly<{
-  /** Requests that end servers, as many as have reached one. */
+  /** Number of crashing requests that have reached a server. */
   countArrivals: () => number;
-  /** Ends of servers. */
+  /** Number of server crashes. */
   countEnds: () => number;
-  /** Resets all connections to all servers, which live on, as soon as so many sound plain requests have come from now on. */
+  /** Resets all connections once this many more plain requests have arrived; the servers keep running. Crashing requests don't count. */
   resetAfter: (requests: number) => void;
   close: () => void;
 }>;
 
-/** Starts the servers. */
+/** Starts the servers on loopback and writes their entries. */
 export const startCrashingServers = async (
   options: CrashingServersOptions,
 ): Promise<CrashingServers> => {
@@ -57,40 +58,40 @@
   const closers: (() => void)[] = [];
   const resetters: (() => void)[] = [];
   let arrivals = 0;
-  let ends = 0;
+  let crashes = 0;
   let isClosed = false;
-  /** Sound plain requests until all connections are reset. */
-  let resetIn = Infinity;
-  const countSound = () => {
-    resetIn -= 1;
-    if (resetIn > 0) return;
-    resetIn = Infinity;
+  /** Plain requests left until all connections are reset. */
+  let requestsUntilReset = Infinity;
+  const countPlainRequest = () => {
+    requestsUntilReset -= 1;
+    if (requestsUntilReset > 0) return;
+    requestsUntilReset = Infinity;
     resetters.forEach((reset) => reset());
   };
 
   const startServer = async (id: string) => {
     const sockets = new Set<Socket>();
-    let born = FIRST_BORN;
+    let born = BASE_START_TIME;
     let port = 0;
     let listener: Server | undefined;
 
-    const closeAll = () => {
+    const resetConnections = () => {
       for (const socket of sockets) socket.resetAndDestroy();
     };
-    const endServer = () => {
+    const stopServer = () => {
       if (!listener) return;
       listener.close();
       listener = undefined;
-      ends += 1;
-      closeAll();
-      setTimeout(() => void listen(), BACK_AFTER_MS);
+      crashes += 1;
+      resetConnections();
+      setTimeout(() => void listen(), RESTART_DELAY_MS);
     };
     const startCrash = (socket: Socket, request: string) => {
       arrivals += 1;
       if (isEngine) sendStreamEvents({ socket, request }, { from: 0, to: 1 });
-      setTimeout(endServer, ENDS_AFTER_MS);
+      setTimeout(stopServer, CRASH_DELAY_MS);
     };
-    const takeRequest = (socket: Socket, head: string, body: string) => {
+    const handleRequest = (socket: Socket, head: string, body: string) => {
       const request = findHeader(head, HEADER.requestId) ?? "";
       if (head.startsWith(`GET ${SERVER_PATH.report}`))
         sendWireJson(socket, { ...IDLE_REPORT, born });
@@ -106,8 +107,8 @@
           Number(findHeader(head, HEADER.lastEventId) ?? -1) + 1,
         );
       else {
-        setTimeout(() => sendPlainAnswer({ socket, request }), PLAIN_MS);
-        countSound();
+        setTimeout(() => sendPlainAnswer({ socket, request }), PLAIN_DURATION_MS);
+        countPlainRequest();
       }
     };
     const listen = async () => {
@@ -115,7 +116,7 @@
       const started = createServer({ allowHalfOpen: true }, (socket) => {
         sockets.add(socket);
         socket.once("close", () => sockets.delete(socket));
-        readWireRequests(socket, (head, body) => takeRequest(socket, head, body));
+        readWireRequests(socket, (head, body) => handleRequest(socket, head, body));
       });
       const { address } = await listenOnLoopback(started, port);
       port = Number(address.split(":")[1]);
@@ -125,18 +126,18 @@
     };
     closers.push(() => {
       listener?.close();
-      closeAll();
+      resetConnections();
     });
-    resetters.push(closeAll);
+    resetters.push(resetConnections);
     await listen();
   };
   await Promise.all(Array.from({ length: count }, (_, i) => startServer(`${kind}-${i}`)));
 
   return {
     countArrivals: () => arrivals,
-    countEnds: () => ends,
+    countEnds: () => crashes,
     resetAfter: (requests) => {
-      resetIn = requests;
+      requestsUntilReset = requests;
     },
     close: () => {
       isClosed = true;
--- a/packages/standins/src/usersPlatform/formatBoxSettings.ts
+++ b/packages/standins/src/usersPlatform/formatBoxSettings.ts
@@ -1,16 +1,17 @@
-/** Settings of a box before a stand-in site, as the users' platform would fill them in. */
+/** Settings file of a box that runs against a stand-in site. */
 
-/** What differs from box to box. */
+/** Values that differ between boxes. */
 export type StandinBox = Readonly<{
   name: string;
+  /** Address of the store, IP:PORT. */
   storeAddress: string;
-  /** First of the four ports that the box listens on. */
+  /** First of the four consecutive ports that the box listens on. */
   firstPort: number;
 }>;
 
 const HOST = "127.0.0.1";
 
-/** Formats the settings file of one box; bounds are those of the users' smaller sites. */
+/** Formats the settings file of one box, with the bounds of a small production site. */
 export const formatBoxSettings = ({
   name,
   storeAddress,
--- a/packages/standins/src/usersPlatform/leavingRule.ts
+++ b/packages/standins/src/usersPlatform/leavingRule.ts
@@ -1,24 +1,26 @@
-/** How the users count what a server gets that has said in an answer that it leaves. */
+/** Acceptance rule for requests that reach a server after it has announced in an answer that it is leaving. */
 
-/** A request as the server got it; times in milliseconds of one steady clock. */
+/** A request as the server received it; times in milliseconds of one monotonic clock. */
 export type LeavingArrival = Readonly<{
+  /** Index of the box that sent the request to the server. */
   box: number;
-  /** When its client sent it. */
+  /** When the client sent it to the box. */
   sentAt: number;
+  /** When it reached the server. */
   at: number;
-  /** Its answer says that the server leaves. */
+  /** The answer announces that the server is leaving. */
   isTold: boolean;
 }>;
 
-/** How long after a box has passed on such an answer its clients' requests may still reach the server. */
+/** How long after a box has received such an answer its clients' new requests may still reach the server. */
 export const LEAVING_MS = 2_000;
 
-/** Counts the requests that clients sent to a box later than the bound after it was told, and that reached the server. */
+/** Counts the requests that reached the server although their clients sent them more than `LEAVING_MS` after the box's first such answer. */
 export const countSentWhileLeaving = (arrivals: readonly LeavingArrival[]): number => {
-  const toldAt = new Map<number, number>();
+  const announcedAt = new Map<number, number>();
   for (const { box, at, isTold } of arrivals)
-    if (isTold) toldAt.set(box, Math.min(at, toldAt.get(box) ?? Infinity));
+    if (isTold) announcedAt.set(box, Math.min(at, announcedAt.get(box) ?? Infinity));
   const isLate = ({ box, sentAt }: LeavingArrival) =>
-    sentAt > (toldAt.get(box) ?? Infinity) + LEAVING_MS;
+    sentAt > (announcedAt.get(box) ?? Infinity) + LEAVING_MS;
   return arrivals.filter(isLate).length;
 };
--- a/packages/standins/src/usersPlatform/loopback.ts
+++ b/packages/standins/src/usersPlatform/loopback.ts
@@ -1,4 +1,4 @@
-/** Small helpers of the stand-ins: a listener on loopback, whole bodies, JSON answers. */
+/** HTTP helpers of the stand-ins: listening on loopback, reading whole bodies, sending JSON. */
 import { Server as HttpServer } from "node:http";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { AddressInfo, Server } from "node:net";
@@ -12,10 +12,10 @@
 
 const LOOPBACK = "127.0.0.1";
 
-/** Path at which every server of the stand-ins says whether it is well, and which one it is. */
+/** Health check path of every stand-in server; the answer names the server's instance id. */
 export const HEALTH_PATH = "/healthz";
 
-/** Listens on a port, any free one unless it is named. */
+/** Listens on the given loopback port, or on any free one if it is 0. */
 export const listenOnLoopback = async (
   server: Server,
   atPort = 0,
@@ -31,14 +31,14 @@
   };
 };
 
-/** Reads a body whole. */
+/** Reads a whole body. */
 export const readWhole = async (incoming: IncomingMessage): Promise<Buffer> => {
   const chunks: Buffer[] = [];
   for await (const chunk of incoming) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks);
 };
 
-/** Answers with JSON. */
+/** Sends a JSON answer. */
 export const sendJson = (
   response: ServerResponse,
   status: number,
--- a/packages/standins/src/usersPlatform/scriptedEngines.ts
+++ b/packages/standins/src/usersPlatform/scriptedEngines.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of model engines whose answers are written byte by byte: each generation that is sent to any of
- * them takes the next script, and its end is the script's own, as the kernel would send it.
+ * Stand-in model engines whose answers are written byte by byte. Each generation sent to any of the engines runs the
+ * next script, which writes to the raw socket and also ends the stream, for example with a reset.
  */
 import { createServer, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
@@ -14,32 +14,32 @@
   sendWireJson,
 } from "./wireRequests.js";
 
-/** A generation as an engine received it, and the connection to answer on. */
+/** A generation request as an engine received it, with the connection to answer on. */
 export type ScriptedCall = Readonly<{
   socket: Socket;
   requestId: string;
-  /** The event behind which it is to go on, if any. */
+  /** Id of the last event that the client has; undefined for a stream from the start. */
   lastEventId: string | undefined;
-  /** Ends the engine: nothing listens at its address any more. */
+  /** Stops listening at the engine's address; open connections stay. */
   leaveAddress: () => void;
 }>;
 
-/** What an engine does with one generation. */
+/** Answers one generation request. */
 export type EngineScript = (call: ScriptedCall) => void;
 
-/** An engine. */
+/** A running engine. */
 export type ScriptedEngine = Readonly<{ id: string; address: string; close: () => void }>;
 
-/** Engines and what they were sent. */
+/** Engines that share one list of scripts, and the requests that they received. */
 export type ScriptedEngines = Readonly<{
   start: (id: string) => Promise<ScriptedEngine>;
-  /** Generations in the order in which they came. */
+  /** Generation requests of all engines, in order of arrival. */
   listCalls: () => readonly ScriptedCall[];
 }>;
 
 const LOOPBACK = "127.0.0.1";
 
-/** Head of a stream's answer; `framing` is one more header line, or none for an answer that ends with its connection. */
+/** Formats the response head of a stream. `framing` is added as further header lines; without it the response ends with its connection. */
 export const formatStreamHead = (requestId: string, framing?: string): string =>
   [
     "HTTP/1.1 200 OK",
@@ -49,13 +49,13 @@
     ...(framing === undefined ? [] : [framing]),
   ].join("\r\n") + HEAD_END;
 
-/** Creates engines that share their scripts; a generation beyond the last script is reset. */
+/** Creates engines that share their scripts; a generation after the last script has its connection reset. */
 export const createScriptedEngines = (
   scripts: readonly EngineScript[],
 ): ScriptedEngines => {
   const calls: ScriptedCall[] = [];
 
-  const takeRequest = (
+  const handleRequest = (
     { id, leaveAddress }: Readonly<{ id: string; leaveAddress: () => void }>,
     socket: Socket,
     head: string,
@@ -83,7 +83,7 @@
   const start = async (id: string): Promise<ScriptedEngine> => {
     const server = createServer({ allowHalfOpen: true }, (socket) => {
       const engine = { id, leaveAddress: () => server.close() };
-      readWireRequests(socket, (head) => takeRequest(engine, socket, head));
+      readWireRequests(socket, (head) => handleRequest(engine, socket, head));
     });
     await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
     const { port } = server.address() as AddressInfo;
--- a/packages/standins/src/usersPlatform/signServers.ts
+++ b/packages/standins/src/usersPlatform/signalServers.ts
@@ -1,11 +1,12 @@
 /**
- * Stand-ins of backend servers that say something of themselves in their answers: how many requests a second they take from all
- * boxes together, that they leave, that they want rest. They serve what comes, or refuse it unrun, and tell what came when.
+ * Stand-in backend servers that add signals about themselves to their answers: a rate limit in requests per second from all
+ * boxes together, that they are leaving, or that they ask for a backoff. They serve each request or refuse it without running
+ * it, and record when it arrived.
  */
 import { createServer, type Socket } from "node:net";
 import { HEADER, SERVER_PATH } from "@stairgauge/platform";
 import { HEALTH_PATH, listenOnLoopback } from "./loopback.js";
-import { sendPlainAnswer, sendRefusal, sendWholeStream } from "./soundAnswers.js";
+import { sendPlainAnswer, sendRefusal, sendWholeStream } from "./rawAnswers.js";
 import {
   findHeader,
   IDLE_REPORT,
@@ -13,87 +14,94 @@
   sendWireJson,
 } from "./wireRequests.js";
 
-/** What a server names in its answer number `answer`, counted from 0; undefined where it names nothing. */
+/** Returns the limit that a server announces in its answer number `answer`, counted from 0; undefined for none. */
 export type LimitNaming = (answer: number) => string | undefined;
 
-/** What a server says in an answer, as whole header lines, and whether it refuses the request with it. */
-export type ServerSaying = Readonly<{ lines: readonly string[]; isRefusal: boolean }>;
+/** Signal in one answer, as whole header lines, and whether the answer refuses the request. */
+export type AnswerSignal = Readonly<{ lines: readonly string[]; isRefusal: boolean }>;
 
-/** Chooses it for answer number `answer`, counted from 0. */
-export type SayingChoice = (answer: number) => ServerSaying;
+/** Returns the signal of answer number `answer`, counted from 0. */
+export type SayingChoice = (answer: number) => AnswerSignal;
 
-/** What the servers are. */
+/** Kind of the servers: engines, which stream, or plain servers. */
 export type SignServerKind = "engine" | "plain";
 
-/** How the servers are listed. */
-export type SignServersOptions = Readonly<{
+/** Options of `startSignServers`. */
+export type SignalServersOptions = Readonly<{
   kind: SignServerKind;
   count: number;
+  /** Writes a server's directory entry. */
   putEntry: (id: string, address: string) => void;
 }>;
 
-/** A request as a server got it, in milliseconds of the process's steady clock. */
+/** A request as a server received it. */
 export type SignArrival = Readonly<{
+  /** Request id. */
   request: string;
+  /** Time of arrival, in milliseconds of the process's monotonic clock. */
   at: number;
-  /** The answer says something of the server. */
+  /** The answer carries a signal. */
   isTold: boolean;
   isRefused: boolean;
 }>;
 
-/** The servers, by the order in which they are listed. */
+/** The running servers; `server` is an index in the order of their ids. */
 export type SignServers = Readonly<{
-  /** From now on the server names this. */
+  /** Sets the limit that the server announces from now on; it replaces any other signal. */
   setNaming: (server: number, naming: LimitNaming) => void;
-  /** From now on the server says this. */
+  /** Sets the signal that the server sends from now on. */
   setSaying: (server: number, choose: SayingChoice) => void;
-  /** Writes the server's entry again, as it was. */
+  /** Writes the server's entry again, unchanged. */
   putEntry: (server: number) => void;
-  /** Requests, in the order in which they came. */
+  /** Requests in order of arrival. */
   listArrivals: (server: number) => readonly SignArrival[];
   close: () => void;
 }>;
 
-const NOTHING_SAID: ServerSaying = { lines: [], isRefusal: false };
+const NO_SIGNAL: AnswerSignal = { lines: [], isRefusal: false };
 
-const toSaying =
-  (name: LimitNaming): SayingChoice =>
+const toSignalChoice =
+  (chooseLimit: LimitNaming): SayingChoice =>
   (answer) => {
-    const limit = name(answer);
-    if (limit === undefined) return NOTHING_SAID;
+    const limit = chooseLimit(answer);
+    if (limit === undefined) return NO_SIGNAL;
     return { lines: [`${HEADER.serverLimit}: ${limit}`], isRefusal: false };
   };
 
-/** Time that a plain request takes. */
-const PLAIN_MS = 20;
+/** Duration of a plain request. */
+const PLAIN_DURATION_MS = 20;
 
-const startServer = async (id: string, { kind, putEntry }: SignServersOptions) => {
+const startServer = async (id: string, { kind, putEntry }: SignalServersOptions) => {
   const arrivals: SignArrival[] = [];
-  let choose: SayingChoice = () => NOTHING_SAID;
+  let choose: SayingChoice = () => NO_SIGNAL;
   let answers = 0;
 
   const serve = (socket: Socket, head: string) => {
     const request = findHeader(head, HEADER.requestId) ?? "";
-    const { lines: more, isRefusal } = choose(answers);
+    const { lines: headerLines, isRefusal } = choose(answers);
     answers += 1;
-    const isTold = more.length > 0;
+    const isTold = headerLines.length > 0;
     arrivals.push({ request, at: performance.now(), isTold, isRefused: isRefusal });
     if (isRefusal) {
-      sendRefusal({ socket, request, more });
+      sendRefusal({ socket, request, headerLines });
       return;
     }
     const from = Number(findHeader(head, HEADER.lastEventId) ?? -1) + 1;
-    if (kind === "engine") sendWholeStream({ socket, request, more }, from);
-    else setTimeout(() => sendPlainAnswer({ socket, request, more }), PLAIN_MS);
+    if (kind === "engine") sendWholeStream({ socket, request, headerLines }, from);
+    else
+      setTimeout(
+        () => sendPlainAnswer({ socket, request, headerLines }),
+        PLAIN_DURATION_MS,
+      );
   };
-  const takeRequest = (socket: Socket, head: string) => {
+  const handleRequest = (socket: Socket, head: string) => {
     if (head.startsWith(`GET ${SERVER_PATH.report}`)) sendWireJson(socket, IDLE_REPORT);
     else if (head.startsWith(`GET ${HEALTH_PATH}`))
       sendWireJson(socket, {}, "200 OK", [`${HEADER.instance}: ${id}`]);
     else serve(socket, head);
   };
   const listener = createServer({ allowHalfOpen: true }, (socket) =>
-    readWireRequests(socket, (head) => takeRequest(socket, head)),
+    readWireRequests(socket, (head) => handleRequest(socket, head)),
   );
   const { address, close } = await listenOnLoopback(listener);
   putEntry(id, address);
@@ -107,14 +115,14 @@
   };
 };
 
-/** Starts the servers; none is in need. */
+/** Starts the servers on loopback; at first they send no signals. */
 export const startSignServers = async (
-  options: SignServersOptions,
+  options: SignalServersOptions,
 ): Promise<SignServers> => {
   const ids = Array.from({ length: options.count }, (_, i) => `${options.kind}-${i}`);
   const servers = await Promise.all(ids.map((id) => startServer(id, options)));
   return {
-    setNaming: (server, naming) => servers[server]!.setSaying(toSaying(naming)),
+    setNaming: (server, naming) => servers[server]!.setSaying(toSignalChoice(naming)),
     setSaying: (server, choose) => servers[server]!.setSaying(choose),
     putEntry: (server) => servers[server]!.putEntry(),
     listArrivals: (server) => servers[server]!.listArrivals(),
--- a/packages/standins/src/usersPlatform/usersEngine.ts
+++ b/packages/standins/src/usersPlatform/usersEngine.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the users' model engines: prompts read in pieces, one batch step for all runs, memory that
- * fills, reports with a lag, copies of a run's memory, and runs that go on from one.
+ * Stand-in model engine. It computes prompts in chunks, advances all runs in one batch step, has limited memory, sends
+ * load reports with a lag, copies a run's memory to another engine, and resumes runs from such copies.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { HEADER, SERVER_PATH, STATE_LEAVING } from "@stairgauge/platform";
@@ -12,52 +12,64 @@
   type Listening,
 } from "./loopback.js";
 
-/** Sizes and times; the users' engines take longer. */
+/** Sizes and durations; tests use shorter durations than real engines have. */
 export type UsersEngineTraits = Readonly<{
+  /** Memory for runs and copies, in tokens. */
   memoryTokens: number;
+  /** Interval of the batch steps. */
   stepMs: number;
   promptTokensPerStep: number;
+  /** Duration of copying a run's memory to another engine. */
   copyMs: number;
+  /** Age of the load report that is sent. */
   reportLagMs: number;
 }>;
 
-/** An engine. */
+/** A running engine. */
 export type UsersEngine = Listening &
   Readonly<{
     id: string;
-    /** Ends at once, as a reclaimed engine does: every stream breaks off, in the middle of an event. */
+    /** Stops at once and closes all connections, as when a machine is reclaimed; streams break off. */
     crash: () => void;
+    /** Reports from now on that the engine is leaving. */
     setLeaving: () => void;
-    /** Takes connections and says nothing any more, as behind a link that is cut. */
+    /** Accepts connections but never answers again, as behind a broken network link. */
     freeze: () => void;
     countRunning: () => number;
-    /** Ids of requests that began to run here, each start once. */
+    /** Ids of requests that sent their first event here and on no other engine before. */
     listStarted: () => readonly string[];
   }>;
 
 type Run = {
   readonly id: string;
   readonly response: ServerResponse;
+  /** Prompt tokens still to compute. */
   promptLeft: number;
   readonly promptTokens: number;
+  /** Events sent so far, on any engine. */
   made: number;
+  /** Events of the whole stream. */
   readonly total: number;
 };
 
+/** A copy of a run's memory. */
 type Copy = Readonly<{ runId: string; tokens: number }>;
 
 const TOKENS_PER_EVENT = 4;
 const HALF_EVENT_BYTES = 7;
 
-/** The event with the number `index` of the generation of a request; the same wherever it runs. */
+/** Formats event `index` of a request's stream; the text is the same on every engine. */
 export const formatEngineEvent = (request: string, index: number): string =>
   `id: ${index}\ndata: ${request} token group ${index}\n\n`;
 
-/** Starts engines that can copy to each other. */
+/** Returns a function that starts engines; they can copy runs to each other. */
 export const createUsersEngines = (traits: UsersEngineTraits) => {
+  /** By the address of the engine that holds the copies, then by handle. */
   const copiesAt = new Map<string, Map<string, Copy>>();
-  const roomAt = new Map<string, (tokens: number) => boolean>();
-  const runAnywhere = new Map<string, string>();
+  /** Capacity check of each engine, by address. */
+  const capacityChecks = new Map<string, (tokens: number) => boolean>();
+  /** For each request that has sent an event, the id of the engine that sent its first. */
+  const firstEngines = new Map<string, string>();
   let nextHandle = 0;
 
   const start = async (id: string): Promise<UsersEngine> => {
@@ -67,7 +79,7 @@
     const reports: { at: number; body: unknown }[] = [];
     let isLeaving = false;
     let isFrozen = false;
-    let isOver = false;
+    let isClosed = false;
 
     const countTokens = (run: Run) => run.promptTokens + run.made * TOKENS_PER_EVENT;
     const sumMemory = () =>
@@ -76,16 +88,16 @@
         (sum, copy) => sum + copy.tokens,
         0,
       );
-    const hasRoom = (tokens: number) => sumMemory() + tokens <= traits.memoryTokens;
+    const hasCapacity = (tokens: number) => sumMemory() + tokens <= traits.memoryTokens;
 
     const stepRun = (run: Run) => {
       if (run.promptLeft > 0) {
         run.promptLeft -= traits.promptTokensPerStep;
         return;
       }
-      if (run.made === 0 && !runAnywhere.has(run.id)) {
+      if (run.made === 0 && !firstEngines.has(run.id)) {
         started.push(run.id);
-        runAnywhere.set(run.id, id);
+        firstEngines.set(run.id, id);
       }
       run.response.write(formatEngineEvent(run.id, run.made));
       run.made += 1;
@@ -93,7 +105,7 @@
       run.response.end();
       runs.delete(run.id);
     };
-    const makeReport = () => ({
+    const createReport = () => ({
       stage: "dual",
       state: isLeaving ? STATE_LEAVING : "ready",
       models: [],
@@ -109,7 +121,7 @@
     const step = () => {
       for (const run of [...runs.values()]) stepRun(run);
       const now = performance.now();
-      reports.push({ at: now, body: makeReport() });
+      reports.push({ at: now, body: createReport() });
       while (reports.length > 1 && reports[1]!.at <= now - traits.reportLagMs)
         reports.shift();
     };
@@ -126,7 +138,7 @@
       const handle = memory?.split("/")[1] ?? "";
       const copy = copies?.get(handle);
       const isOwnStopped = stopped.has(requestId) && memory?.startsWith(address);
-      if ((memory && !copy && !isOwnStopped) || (!memory && !hasRoom(prompt))) {
+      if ((memory && !copy && !isOwnStopped) || (!memory && !hasCapacity(prompt))) {
         sendJson(response, 503, {}, { [HEADER.notRun]: "1" });
         return;
       }
@@ -156,7 +168,7 @@
     const stopRun = (run: Run) => {
       runs.delete(run.id);
       stopped.add(run.id);
-      // The stream stops in the middle of an event, without an end.
+      // The stream breaks off within an event.
       run.response.write(
         formatEngineEvent(run.id, run.made).slice(0, HALF_EVENT_BYTES),
         () => run.response.destroy(),
@@ -174,18 +186,18 @@
         sendJson(response, 404, {});
         return;
       }
-      const known = [...(copiesAt.get(body.targetVersion) ?? [])].find(
+      const existing = [...(copiesAt.get(body.targetVersion) ?? [])].find(
         ([, copy]) => copy.runId === run.id,
       );
-      const handle = known?.[0] ?? `h${(nextHandle += 1)}`;
+      const handle = existing?.[0] ?? `h${(nextHandle += 1)}`;
       if (body.last) stopRun(run);
       const tokens = countTokens(run);
-      if (!known && !roomAt.get(body.targetVersion)?.(tokens)) {
+      if (!existing && !capacityChecks.get(body.targetVersion)?.(tokens)) {
         sendJson(response, 503, body.last ? { handle } : {});
         return;
       }
       setTimeout(() => {
-        if (isOver) return;
+        if (isClosed) return;
         const copies = copiesAt.get(body.targetVersion) ?? new Map<string, Copy>();
         copiesAt.set(body.targetVersion, copies);
         if (!body.last) copies.set(handle, { runId: run.id, tokens });
@@ -197,7 +209,7 @@
       if (isFrozen) return;
       const path = incoming.url ?? "/";
       if (path === SERVER_PATH.report)
-        sendJson(response, 200, reports[0]?.body ?? makeReport());
+        sendJson(response, 200, reports[0]?.body ?? createReport());
       else if (path === HEALTH_PATH)
         sendJson(response, 200, {}, { [HEADER.instance]: id });
       else if (path === SERVER_PATH.move) void copyRun(incoming, response);
@@ -208,11 +220,11 @@
     const server = createServer(handle);
     const listening = await listenOnLoopback(server);
     const { address } = listening;
-    roomAt.set(address, hasRoom);
+    capacityChecks.set(address, hasCapacity);
     const close = () => {
-      isOver = true;
+      isClosed = true;
       clearInterval(timer);
-      roomAt.delete(address);
+      capacityChecks.delete(address);
       listening.close();
     };
     return {
--- a/packages/standins/src/usersPlatform/usersEventSource.ts
+++ b/packages/standins/src/usersPlatform/usersEventSource.ts
@@ -1,22 +1,24 @@
-/** A stand-in engine for benchmarks: every request gets events at one steady gap, with time stamps as text. */
+/** Stand-in engine for benchmarks: every request gets an endless stream of events at a fixed interval. Each event holds its send time. */
 import { createServer, type ServerResponse } from "node:http";
 import { HEADER } from "@stairgauge/platform";
 import { listenOnLoopback, readWhole, type Listening } from "./loopback.js";
 
 type Stream = { readonly response: ServerResponse; index: number };
 
-const renderStamp = (): string => (performance.timeOrigin + performance.now()).toFixed(3);
+/** Current time in Unix milliseconds, with microseconds. */
+const renderTimestamp = (): string =>
+  (performance.timeOrigin + performance.now()).toFixed(3);
 
-/** Starts the source; it never ends a stream by itself. */
+/** Starts the source. A stream ends only when its client closes it or the source closes. */
 export const startUsersEventSource = async (gapMs: number): Promise<Listening> => {
   const streams = new Set<Stream>();
-  const sendOne = (stream: Stream) => {
-    const event = `id: ${stream.index}\ndata: {"t":"${renderStamp()}"}\n\n`;
+  const sendEvent = (stream: Stream) => {
+    const event = `id: ${stream.index}\ndata: {"t":"${renderTimestamp()}"}\n\n`;
     stream.response.write(event);
     stream.index += 1;
   };
   const timer = setInterval(() => {
-    for (const stream of streams) sendOne(stream);
+    for (const stream of streams) sendEvent(stream);
   }, gapMs);
 
   const listening = await listenOnLoopback(
--- a/packages/standins/src/usersPlatform/usersService.ts
+++ b/packages/standins/src/usersPlatform/usersService.ts
@@ -1,4 +1,4 @@
-/** A stand-in of the users' plain servers, with the faults that they may have, one chosen for each request. */
+/** Stand-in plain server. A test chooses a fault for each request. */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { HEADER } from "@stairgauge/platform";
 import {
@@ -9,56 +9,63 @@
   sendJson,
 } from "./loopback.js";
 
-/** How a server answers a request. */
+/** How the server answers a request. */
 export type ServiceFault =
   | "none"
-  /** Its own error: it ran. */
+  /** 500 from the server itself: the request ran. */
   | "error"
-  /** Full: it did not run. */
+  /** 503 with the header that states that the request did not run. */
   | "full"
-  /** A 503 without the promise that it did not run. */
+  /** 503 without that header: the request may have run. */
   | "bare_503"
-  /** Another server has the address. */
+  /** 421: another server now listens at the address. */
   | "other_server"
+  /** Without the signature header. */
   | "unsigned"
+  /** With a content encoding. */
   | "encoded"
-  /** The answer to another request. */
+  /** With the id of another request. */
   | "crossed"
-  /** Ends before its length. */
+  /** The connection ends before the announced length. */
   | "cut"
+  /** The connection closes without an answer. */
   | "no_answer"
-  /** No length; ends with the connection. */
+  /** No length; the body ends with the connection. */
   | "unframed"
-  /** No length; reset before its end. */
+  /** No length; the connection is reset within the body. */
   | "unframed_reset"
-  /** A second answer follows the first. */
+  /** The answer is sent twice. */
   | "extra"
+  /** Bytes that are not HTTP. */
   | "garbage"
-  /** Answers before it has read the body. */
+  /** Answers before reading the request's body. */
   | "early"
-  /** Says nothing until the connection closes. */
+  /** Never answers. */
   | "silent";
 
 /** A request as a server received it. */
 export type ReceivedRequest = Readonly<{
   id: string;
   method: string;
+  /** Path and query. */
   target: string;
+  /** Names and values in turn. */
   headers: readonly string[];
   body: string;
 }>;
 
-/** A plain server. */
+/** A running plain server. */
 export type UsersService = Listening &
   Readonly<{
     id: string;
-    /** Faults of the next requests, in turn; afterwards there is none. */
+    /** Sets the faults of the next requests, in order; later requests are answered without a fault. */
     setFaults: (faults: readonly ServiceFault[]) => void;
     listReceived: () => readonly ReceivedRequest[];
+    /** Number of open requests that are never answered. */
     countSilent: () => number;
   }>;
 
-/** Body of every sound answer, by the server's id and the request's. */
+/** Formats the body of an answer without a fault, from the ids of the server and the request. */
 export const formatServiceBody = (server: string, request: string): string =>
   `answer of ${server} to ${request}`;
 
@@ -68,7 +75,7 @@
   let faults: ServiceFault[] = [];
   let silent = 0;
 
-  const sendSound = (response: ServerResponse, request: string, changes = {}) => {
+  const sendValidAnswer = (response: ServerResponse, request: string, changes = {}) => {
     const body = Buffer.from(formatServiceBody(id, request));
     response.writeHead(200, {
       [HEADER.requestId]: request,
@@ -89,7 +96,7 @@
     response.writeHead(status, { "Content-Length": "0", ...headers });
     response.end();
   };
-  const formatRaw = (request: string, length: string) =>
+  const formatRawHead = (request: string, length: string) =>
     `HTTP/1.1 200 OK\r\n${HEADER.requestId}: ${request}\r\n${HEADER.signature}: s\r\n${length}\r\n`;
 
   const answer = (
@@ -104,39 +111,42 @@
       request: string;
     },
   ) => {
-    const own = { [HEADER.requestId]: request };
+    const idHeader = { [HEADER.requestId]: request };
     const body = formatServiceBody(id, request);
     switch (fault) {
       case "none":
       case "early":
-        sendSound(response, request);
+        sendValidAnswer(response, request);
         return;
       case "error":
-        sendStatus(response, 500, { ...own, [HEADER.signature]: `signature-${request}` });
+        sendStatus(response, 500, {
+          ...idHeader,
+          [HEADER.signature]: `signature-${request}`,
+        });
         return;
       case "full":
-        sendStatus(response, 503, { ...own, [HEADER.notRun]: "1" });
+        sendStatus(response, 503, { ...idHeader, [HEADER.notRun]: "1" });
         return;
       case "bare_503":
-        sendStatus(response, 503, own);
+        sendStatus(response, 503, idHeader);
         return;
       case "other_server":
         sendStatus(response, 421, { [HEADER.instance]: "i-another" });
         return;
       case "unsigned":
-        response.writeHead(200, { ...own, "Content-Length": "2" });
+        response.writeHead(200, { ...idHeader, "Content-Length": "2" });
         response.end("ok");
         return;
       case "encoded":
-        sendSound(response, request, { [HEADER.contentEncoding]: "gzip" });
+        sendValidAnswer(response, request, { [HEADER.contentEncoding]: "gzip" });
         return;
       case "crossed":
-        sendSound(response, "another-request");
+        sendValidAnswer(response, "another-request");
         return;
       case "cut":
         sendRaw(
           incoming,
-          `${formatRaw(request, "Content-Length: 999\r\n")}${body}`,
+          `${formatRawHead(request, "Content-Length: 999\r\n")}${body}`,
           "end",
         );
         return;
@@ -144,15 +154,15 @@
         incoming.socket.destroy();
         return;
       case "unframed":
-        sendRaw(incoming, formatRaw(request, "") + body, "end");
+        sendRaw(incoming, formatRawHead(request, "") + body, "end");
         return;
       case "unframed_reset":
-        sendRaw(incoming, formatRaw(request, "") + body.slice(0, 5), "reset");
+        sendRaw(incoming, formatRawHead(request, "") + body.slice(0, 5), "reset");
         return;
       case "extra":
         sendRaw(
           incoming,
-          (formatRaw(request, `Content-Length: ${body.length}\r\n`) + body).repeat(2),
+          (formatRawHead(request, `Content-Length: ${body.length}\r\n`) + body).repeat(2),
           "end",
         );
         return;
--- a/packages/standins/src/usersPlatform/usersSite.ts
+++ b/packages/standins/src/usersPlatform/usersSite.ts
@@ -1,4 +1,4 @@
-/** A small site on the users' platform: a store, engines, plain servers, and the operator's configuration. */
+/** A small stand-in site that uses the protocol of @stairgauge/platform: a store, engines, plain servers, and the operator's configuration. */
 import {
   CLOSED_HALL_PREFIX,
   CONFIGURATION_KEY,
@@ -10,57 +10,60 @@
 import { startUsersService, type UsersService } from "./usersService.js";
 import { startUsersStore, type UsersStore } from "./usersStore.js";
 
-/** How large the site is. */
+/** Number of servers of the site. */
 export type UsersSiteSize = Readonly<{ engines: number; services: number }>;
 
-/** A running site; its operator's and servers' hands are here. */
+/** A running site, with what its operator and servers can change. */
 export type UsersSite = Readonly<{
   store: UsersStore;
   engines: readonly UsersEngine[];
   services: readonly UsersService[];
-  /** Puts a configuration with the changes given; the version rises by itself unless named. */
+  /** Writes the default configuration with these changes and the next version; `version` among the changes overrides it. */
   putConfiguration: (changes?: Readonly<Record<string, unknown>>) => void;
-  /** Puts a configuration in which each server takes this many connections. */
+  /** Writes a configuration in which each server accepts this many connections. */
   limitConnections: (limit: number) => void;
-  /** Puts a configuration in which each request may be sent to this many servers. */
+  /** Writes a configuration in which each request may be sent to this many servers. */
   allowServers: (count: number) => void;
-  /** Puts a configuration in which all routes, or the workspace, keep to the regions named. */
+  /** Writes a configuration in which all routes, or the workspace, may use only these regions. */
   keepToRegions: (who: "routes" | "workspace", regions: readonly string[]) => void;
-  /** Adds an engine that runs elsewhere, or changes its entry. */
+  /** Writes the entry of an engine that was started elsewhere. `born` is its start time in Unix milliseconds; without it the entry has none. */
   putEngine: (
     id: string,
     address: string,
     state?: "ready" | "leaving",
     born?: number,
   ) => void;
-  /** Puts anything where a server's entry stands. */
+  /** Writes any value as a server's entry, also an invalid one. */
   putOddEntry: (id: string, entry: unknown) => void;
-  /** Adds a plain server that runs elsewhere. */
+  /** Writes the entry of a plain server that was started elsewhere; `born` as for engines. */
   putService: (id: string, address: string, born?: number) => void;
-  /** Puts a server into another data hall. */
+  /** Writes a server's entry with another data hall. */
   putHall: (server: UsersEngine | UsersService, hall: string) => void;
-  /** Closes a data hall to new work, and opens it again. */
+  /** Closes a data hall to new requests. */
   closeHall: (hall: string) => void;
+  /** Opens a closed data hall again. */
   openHall: (hall: string) => void;
-  /** The server's entry says that it leaves. */
+  /** Marks the server as leaving in its entry, and an engine in its reports as well. */
   announceLeaving: (server: UsersEngine | UsersService) => void;
   close: () => void;
 }>;
 
-/** The site's host name for clients. */
+/** Host name that clients use. */
 export const SITE_HOST = "site.example";
 
-/** A key of the site's one workspace, and the workspace. */
+/** API key of the site's only workspace. */
 export const SITE_KEY = "site-key";
+
+/** Name of the site's only workspace. */
 export const SITE_WORKSPACE = "site-workspace";
 
 const ENGINE_SERVICE = "writers";
 const PLAIN_SERVICE = "pages";
 
-/** The data hall of all servers until they are put into another one. */
+/** Data hall of all servers until `putHall` changes it. */
 export const SITE_HALL = "hall-a";
 
-/** Traits that let a generation of some hundred events run within a second. */
+/** With these a generation of some hundred events takes less than a second. */
 const ENGINE_TRAITS = {
   memoryTokens: 34_000,
   stepMs: 2,
@@ -69,7 +72,7 @@
   reportLagMs: 20,
 };
 
-const makeRoute = (name: string, changes: Readonly<Record<string, unknown>>) => ({
+const createRoute = (name: string, changes: Readonly<Record<string, unknown>>) => ({
   name,
   host: SITE_HOST,
   pathPrefix: `/${name}/`,
@@ -82,19 +85,19 @@
   ...changes,
 });
 
-/** Routes by what may be done with their requests. */
+/** Routes that differ in whether their requests may be repeated, streamed, resumed or sent without a key. */
 const ROUTES = [
-  makeRoute("once", { routeType: "non_idempotent" }),
-  makeRoute("again", { routeType: "idempotent", maxAttempts: 2 }),
-  makeRoute("open", { routeType: "idempotent", authExempt: true }),
-  makeRoute("short", { routeType: "non_idempotent", timeoutMs: 150 }),
-  makeRoute("draft", {
+  createRoute("once", { routeType: "non_idempotent" }),
+  createRoute("again", { routeType: "idempotent", maxAttempts: 2 }),
+  createRoute("open", { routeType: "idempotent", authExempt: true }),
+  createRoute("short", { routeType: "non_idempotent", timeoutMs: 150 }),
+  createRoute("draft", {
     routeType: "streaming",
     service: ENGINE_SERVICE,
     timeoutMs: 30_000,
     gap_aim_ms: 180,
   }),
-  makeRoute("verdict", {
+  createRoute("verdict", {
     routeType: "streaming",
     service: ENGINE_SERVICE,
     timeoutMs: 30_000,
@@ -132,12 +135,12 @@
   tenants: [{ name: SITE_WORKSPACE, apiKeys: [SITE_KEY], priority: 1 }],
 };
 
-/** Starts a site; nothing is configured until `putConfiguration`. */
+/** Starts a site on loopback; the store has no configuration until one is written. */
 export const startUsersSite = async (size: UsersSiteSize): Promise<UsersSite> => {
   const store = await startUsersStore();
-  const makeEngines = createUsersEngines(ENGINE_TRAITS);
+  const engineGroup = createUsersEngines(ENGINE_TRAITS);
   const engines = await Promise.all(
-    Array.from({ length: size.engines }, (_, i) => makeEngines.start(`engine-${i}`)),
+    Array.from({ length: size.engines }, (_, i) => engineGroup.start(`engine-${i}`)),
   );
   const services = await Promise.all(
     Array.from({ length: size.services }, (_, i) => startUsersService(`page-${i}`)),
@@ -148,18 +151,18 @@
     server: Readonly<{ id: string; address: string }>,
     state: string,
     isEngine = engines.some(({ id }) => id === server.id),
-    more: Readonly<{ hall?: string; born?: number | undefined }> = {},
+    details: Readonly<{ hall?: string; born?: number | undefined }> = {},
   ) => {
     store.put(TABLE.servers, server.id, {
       service: isEngine ? ENGINE_SERVICE : PLAIN_SERVICE,
       address: server.address,
-      zone: more.hall ?? SITE_HALL,
+      zone: details.hall ?? SITE_HALL,
       version: "v1",
       slots: isEngine ? 48 : 6,
       state,
       warmupLeftMs: 0,
       sequence: 1,
-      ...(more.born !== undefined && { born: more.born }),
+      ...(details.born !== undefined && { born: details.born }),
     });
   };
   for (const server of [...engines, ...services]) putEntry(server, "ready");
--- a/packages/standins/src/usersPlatform/usersStore.ts
+++ b/packages/standins/src/usersPlatform/usersStore.ts
@@ -1,24 +1,25 @@
-/** A stand-in of the users' store: rows with one counter of versions, a feed, and the faults that it may have. */
+/** Stand-in store: tables of rows with one revision counter, a change feed, and faults that a test can set. */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { HEADER, STORE_PATH } from "@stairgauge/platform";
 import { listenOnLoopback, readWhole, sendJson, type Listening } from "./loopback.js";
 
-/** What the store does with calls. */
+/** How the store answers calls: normally, with 503 (busy), with 429 (many), never, or with a connection reset. */
 export type StoreMode = "up" | "busy" | "many" | "silent" | "reset";
 
+/** A row, or the trace of a deleted one (`gone`); `ver` is the revision of its last change. */
 type StoredRow = Readonly<{ key: string; value: string; ver: number; gone: boolean }>;
 
-/** The store as it was at one moment. */
+/** A backup of the store. */
 export type StoreCopy = Readonly<{
   tables: ReadonlyMap<string, ReadonlyMap<string, StoredRow>>;
   revision: number;
 }>;
 
-/** The store and its operator's hand. */
+/** A running store, with what a test can change. */
 export type UsersStore = Listening &
   Readonly<{
     put: (table: string, key: string, value: unknown) => void;
-    /** Puts a row again with other fields. */
+    /** Rewrites an existing row with these fields changed. */
     change: (
       table: string,
       key: string,
@@ -26,24 +27,27 @@
     ) => void;
     drop: (table: string, key: string) => void;
     setMode: (mode: StoreMode) => void;
-    /** Forgets the history and cuts all calls that wait. */
+    /** Discards the change history; pending feed calls and calls for older revisions are answered with 410. */
     compact: () => void;
-    /** The next writes are done, and their answers lost. */
+    /** Carries out the next `count` writes without ever answering them. */
     loseAnswers: (count: number) => void;
-    /** The next whole reads give the state before the last change. */
+    /** Answers the next `count` reads of a whole table with the state before the last change. */
     giveStaleReads: (count: number) => void;
+    /** Keys of the rows that are not deleted. */
     listKeys: (table: string) => readonly string[];
+    /** Number of calls received. */
     countCalls: () => number;
     copy: () => StoreCopy;
-    /** Comes back from a copy: cuts all connections, forgets what came since, and gives its versions out again. */
+    /** Restores the store from a backup: closes all connections, discards later changes, assigns their revisions again and starts a new era. */
     restore: (copy: StoreCopy) => void;
-    /** Gives out so many versions for rows that nobody reads. */
+    /** Advances the revision by `count` without a change, as writes to other tables would. */
     spendVersions: (count: number) => void;
-    /** From now on answers tell this era; undefined: none. */
+    /** Sets the era in the header of all answers; undefined sends no header. */
     setEra: (era: string | undefined) => void;
   }>;
 
-type Waiting = Readonly<{ table: string; since: number; answer: () => void }>;
+/** A feed call that waits for changes later than revision `since`. */
+type PendingFeedCall = Readonly<{ table: string; since: number; answer: () => void }>;
 
 const encodeValue = (value: unknown) =>
   Buffer.from(JSON.stringify(value)).toString("base64");
@@ -51,16 +55,17 @@
 /** Starts a store on loopback. */
 export const startUsersStore = async (): Promise<UsersStore> => {
   const tables = new Map<string, Map<string, StoredRow>>();
-  const waiting = new Set<Waiting>();
+  const pendingCalls = new Set<PendingFeedCall>();
   let revision = 1;
   let historyFrom = 0;
   let mode: StoreMode = "up";
   let answersToLose = 0;
   let staleReads = 0;
+  /** Rows of the last changed table before that change. */
   let previous: readonly StoredRow[] = [];
   let calls = 0;
   let restores = 0;
-  let toldEra: string | undefined = String(restores);
+  let announcedEra: string | undefined = String(restores);
 
   const getTable = (name: string) => {
     const table = tables.get(name) ?? new Map<string, StoredRow>();
@@ -72,7 +77,7 @@
     previous = listRows(table);
     revision += 1;
     getTable(table).set(row.key, { ...row, ver: revision });
-    for (const wait of waiting) if (wait.table === table) wait.answer();
+    for (const call of pendingCalls) if (call.table === table) call.answer();
   };
   const put = (table: string, key: string, value: string) =>
     apply(table, { key, value, gone: false });
@@ -115,7 +120,7 @@
         .sort((a, b) => a.ver - b.ver);
     const finish = () => {
       clearTimeout(timer);
-      waiting.delete(wait);
+      pendingCalls.delete(call);
       if (since < historyFrom) sendJson(response, 410, {});
       else
         send(
@@ -123,14 +128,14 @@
           listChanges().map((row) => toWire(table, row)),
         );
     };
-    const wait: Waiting = { table, since, answer: finish };
+    const call: PendingFeedCall = { table, since, answer: finish };
     const timer = setTimeout(finish, Number(query.get("waitMs") ?? 0));
     response.once("close", () => {
       clearTimeout(timer);
-      waiting.delete(wait);
+      pendingCalls.delete(call);
     });
     if (listChanges().length > 0) finish();
-    else waiting.add(wait);
+    else pendingCalls.add(call);
   };
 
   const write = async (incoming: IncomingMessage, response: ServerResponse) => {
@@ -149,7 +154,7 @@
 
   const handle = (incoming: IncomingMessage, response: ServerResponse) => {
     calls += 1;
-    if (toldEra !== undefined) response.setHeader(HEADER.storeEra, toldEra);
+    if (announcedEra !== undefined) response.setHeader(HEADER.storeEra, announcedEra);
     if (mode === "silent") return;
     if (mode === "reset") {
       incoming.socket.resetAndDestroy();
@@ -184,7 +189,7 @@
     compact: () => {
       historyFrom = revision + 1;
       revision += 1;
-      for (const wait of [...waiting]) wait.answer();
+      for (const call of [...pendingCalls]) call.answer();
     },
     loseAnswers: (count) => {
       answersToLose = count;
@@ -207,15 +212,15 @@
       revision = copy.revision;
       historyFrom = 0;
       restores += 1;
-      toldEra = String(restores);
-      waiting.clear();
+      announcedEra = String(restores);
+      pendingCalls.clear();
       server.closeAllConnections();
     },
     spendVersions: (count) => {
       revision += count;
     },
     setEra: (era) => {
-      toldEra = era;
+      announcedEra = era;
     },
   };
 };
--- a/packages/standins/src/usersPlatform/wireEngine.ts
+++ b/packages/standins/src/usersPlatform/wireEngine.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of a model engine that runs as a process of its own and holds each stream at a chosen place, so that a
- * test can end the stream, the connection or the process there, as a real machine does.
+ * Stand-in model engine that writes to raw sockets and runs as a separate process. It holds each stream at a chosen position,
+ * so that a test can end the stream, the connection or the process exactly there.
  */
 import { createServer, type Socket } from "node:net";
 import { HEADER, SERVER_PATH } from "@stairgauge/platform";
@@ -14,49 +14,51 @@
   sendWireJson,
 } from "./wireRequests.js";
 
-/** Where an engine tells its start: in a header or the body of its health answer, or in its report alone. */
+/** Where an engine reports its start time besides its load report: in a header or the body of its health answer, or nowhere else. */
 export type WireBirthPlace = "header" | "body" | "report";
 
-/** How an answer says where it ends. */
+/** How the end of an answer's body is marked. */
 export type WireFraming = "connection" | "chunks" | "length";
 
-/** Where a run is held: behind a whole event, within one, before its last byte, within the first, or behind the last. */
+/** Where a stream is held: after a whole event, within an event, before an event's last byte, within the first event, or after the last. */
 export type WireCut = "boundary" | "event" | "line" | "first" | "end";
 
-/** How a held stream goes on once it is let go: closed in order, reset, or ended as its framing ends one. */
+/** What happens to a held stream on release: its connection is closed, or reset, or its body ends as its framing requires. */
 export type WireEnd = "close" | "reset" | "finish";
 
-/** What a request asks of an engine that holds streams, in the query of its target. */
+/** Options of one stream. Requests carry them as query parameters, under these names. */
 export type WireAsk = Readonly<{
-  /** Events of the whole stream. */
+  /** Number of events of the whole stream. */
   events: number;
   framing: WireFraming;
   cut: WireCut;
   end: WireEnd;
-  /** Whether lines end with a carriage return as well. */
+  /** Whether lines end with a carriage return before the line feed. */
   hasCarriageReturns: boolean;
-  /** Whether the request's body stays unread. */
+  /** Whether the engine leaves the request's body unread. */
   isBodyLeft: boolean;
 }>;
 
-/** How an engine answers. */
+/** Options of `startWireEngine`. */
 export type WireEngineOptions = Readonly<{
   id: string;
+  /** Loopback port; 0 for any free one. */
   port: number;
-  /** Whether it holds new streams as their requests ask; otherwise it serves all of them whole, in chunks. */
+  /** Whether new streams are held as their requests specify; otherwise all streams are sent whole, in chunks. */
   holds: boolean;
-  /** Its start, in Unix milliseconds, and where it says so; an earlier platform's servers don't. */
+  /** Start time in Unix milliseconds, and where it is reported. Undefined for servers of older platforms, which report none. */
   birth?: Readonly<{ at: number; saidIn: WireBirthPlace }> | undefined;
-  /** A stream is held; all that it wrote is with the kernel. */
+  /** Called when a stream is held and all its bytes are handed to the kernel. */
   onHeld: (request: string) => void;
 }>;
 
-/** An engine. */
+/** A running engine. */
 export type WireEngine = Readonly<{
+  /** IP:PORT. */
   address: string;
-  /** Lets all held streams go, each in the way chosen. */
+  /** Releases all held streams; each ends as its options say. */
   releaseHeld: () => void;
-  /** Takes no connection any more; those that are open stay. */
+  /** Stops listening; open connections stay. */
   leaveAddress: () => void;
 }>;
 
@@ -64,12 +66,13 @@
 const LAST_CHUNK = "0\r\n\r\n";
 
 /** How many bytes of an event are written before a cut within it. */
-const CUT_AT: Readonly<Record<Exclude<WireCut, "end">, (event: string) => number>> = {
-  boundary: () => 0,
-  event: (event) => event.length >> 1,
-  line: (event) => event.length - 1,
-  first: (event) => event.length >> 1,
-};
+const CUT_OFFSETS: Readonly<Record<Exclude<WireCut, "end">, (event: string) => number>> =
+  {
+    boundary: () => 0,
+    event: (event) => event.length >> 1,
+    line: (event) => event.length - 1,
+    first: (event) => event.length >> 1,
+  };
 
 const formatBody = (framing: WireFraming, parts: readonly string[]): string =>
   framing === "chunks"
@@ -84,22 +87,25 @@
   return framing === "length" ? `Content-Length: ${events.join("").length}` : undefined;
 };
 
-/** What is written of a run before it is held. */
-const takeEvents = (events: readonly string[], cut: WireCut): readonly string[] => {
+/** Returns the events to write before the stream is held; the last may be a part of one. */
+const selectEvents = (events: readonly string[], cut: WireCut): readonly string[] => {
   if (cut === "end") return events;
   const whole = cut === "first" ? 0 : EVENTS_BEFORE_CUT;
   const next = events[whole] ?? "";
-  const part = next.slice(0, CUT_AT[cut](next));
+  const part = next.slice(0, CUT_OFFSETS[cut](next));
   return [...events.slice(0, whole), ...(part === "" ? [] : [part])];
 };
 
-/** Formats the query by which a request asks. */
-export const formatWireAsk = (ask: WireAsk): string =>
+/** Formats stream options as the query of a request. */
+export const formatWireAsk = (streamOptions: WireAsk): string =>
   new URLSearchParams(
-    Object.entries(ask).map(([name, value]): [string, string] => [name, String(value)]),
+    Object.entries(streamOptions).map(([name, value]): [string, string] => [
+      name,
+      String(value),
+    ]),
   ).toString();
 
-const parseWireAsk = (head: string): WireAsk => {
+const parseStreamOptions = (head: string): WireAsk => {
   const target = head.split(" ", 2)[1] ?? "";
   const query = new URLSearchParams(target.split("?")[1]);
   return {
@@ -112,11 +118,15 @@
   };
 };
 
-const listEvents = (head: string, request: string, ask: WireAsk): readonly string[] => {
+const listEvents = (
+  head: string,
+  request: string,
+  streamOptions: WireAsk,
+): readonly string[] => {
   const from = Number(findHeader(head, HEADER.lastEventId) ?? -1) + 1;
-  return Array.from({ length: Math.max(0, ask.events - from) }, (_, at) => {
+  return Array.from({ length: Math.max(0, streamOptions.events - from) }, (_, at) => {
     const event = formatEngineEvent(request, from + at);
-    return ask.hasCarriageReturns ? event.replaceAll("\n", "\r\n") : event;
+    return streamOptions.hasCarriageReturns ? event.replaceAll("\n", "\r\n") : event;
   });
 };
 
@@ -131,34 +141,34 @@
   else socket.end();
 };
 
-/** Starts an engine. */
+/** Starts an engine on loopback. */
 export const startWireEngine = async (
   options: WireEngineOptions,
 ): Promise<WireEngine> => {
   const { id, holds, birth, onHeld } = options;
-  const born = birth ? { born: birth.at } : {};
+  const bornField = birth ? { born: birth.at } : {};
   const held = new Map<string, () => void>();
 
   const startRun = (socket: Socket, head: string) => {
     const request = findHeader(head, HEADER.requestId) ?? "";
-    const ask = parseWireAsk(head);
-    const events = listEvents(head, request, ask);
+    const streamOptions = parseStreamOptions(head);
+    const events = listEvents(head, request, streamOptions);
     if (!holds) {
       const answerHead = formatStreamHead(request, formatFraming("chunks", events));
       socket.write(answerHead + formatBody("chunks", events) + LAST_CHUNK);
       return;
     }
-    const { framing, cut } = ask;
+    const { framing, cut } = streamOptions;
     const answerHead = formatStreamHead(request, formatFraming(framing, events));
-    const written = formatBody(framing, takeEvents(events, cut));
+    const written = formatBody(framing, selectEvents(events, cut));
     socket.write(answerHead + written, () => {
-      held.set(request, () => endStream(socket, ask));
+      held.set(request, () => endStream(socket, streamOptions));
       onHeld(request);
     });
   };
 
-  /** Copies of memory are always there; the last call for a run stops it without its end. */
-  const passRunOn = (socket: Socket, body: string) => {
+  /** Answers a call to copy a run's memory. The copy is complete at once; a call with `last` releases the run's held stream. */
+  const handleMove = (socket: Socket, body: string) => {
     const { id: request, last } = JSON.parse(body) as { id: string; last?: boolean };
     const run = held.get(request);
     if (run && last) {
@@ -169,27 +179,28 @@
     else sendWireJson(socket, {}, "404 Not Found");
   };
 
-  const takeRequest = (socket: Socket, head: string, body: string) => {
+  const handleRequest = (socket: Socket, head: string, body: string) => {
     const [method = "", path = ""] = head.split(" ", 2);
     const expected = findHeader(head, HEADER.expectInstance);
-    const named = [`${HEADER.instance}: ${id}`];
-    const told = birth?.saidIn === "header" ? [`${HEADER.born}: ${birth.at}`] : [];
-    const well = birth?.saidIn === "body" ? born : {};
-    if (path === SERVER_PATH.report) sendWireJson(socket, { ...IDLE_REPORT, ...born });
+    const instanceHeader = [`${HEADER.instance}: ${id}`];
+    const bornHeader = birth?.saidIn === "header" ? [`${HEADER.born}: ${birth.at}`] : [];
+    const healthBody = birth?.saidIn === "body" ? bornField : {};
+    if (path === SERVER_PATH.report)
+      sendWireJson(socket, { ...IDLE_REPORT, ...bornField });
     else if (path === HEALTH_PATH)
-      sendWireJson(socket, well, "200 OK", [...named, ...told]);
-    else if (path === SERVER_PATH.move) passRunOn(socket, body);
+      sendWireJson(socket, healthBody, "200 OK", [...instanceHeader, ...bornHeader]);
+    else if (path === SERVER_PATH.move) handleMove(socket, body);
     else if (method === "DELETE") sendWireJson(socket, {});
     else if (expected !== undefined && expected !== id)
-      sendWireJson(socket, {}, "421 Misdirected Request", named);
+      sendWireJson(socket, {}, "421 Misdirected Request", instanceHeader);
     else startRun(socket, head);
   };
 
   const server = createServer({ allowHalfOpen: true }, (socket) =>
     readWireRequests(
       socket,
-      (head, body) => takeRequest(socket, head, body),
-      (head) => holds && parseWireAsk(head).isBodyLeft,
+      (head, body) => handleRequest(socket, head, body),
+      (head) => holds && parseStreamOptions(head).isBodyLeft,
     ),
   );
   const { address } = await listenOnLoopback(server, options.port);
--- a/packages/standins/src/usersPlatform/wireRequests.ts
+++ b/packages/standins/src/usersPlatform/wireRequests.ts
@@ -1,10 +1,10 @@
-/** Requests of a raw connection, for stand-ins that write their answers byte by byte. */
+/** HTTP/1.1 on raw sockets, for stand-ins that write their answers byte by byte. */
 import type { Socket } from "node:net";
 
-/** Ends a head on the wire. */
+/** Ends the head of an HTTP message. */
 export const HEAD_END = "\r\n\r\n";
 
-/** Value of the first header of that name, if any. */
+/** Returns the value of the first header with this name, or undefined. */
 export const findHeader = (head: string, name: string): string | undefined =>
   head
     .split("\r\n")
@@ -12,11 +12,14 @@
     ?.slice(name.length + 1)
     .trim();
 
-/** Gives the head and body of each request that has come whole; one whose body is left unread, as soon as its head has come. */
+/**
+ * Calls `onRequest` with the head and body of each request once it has arrived completely. If `shouldSkipBody` returns true for
+ * a request with a body, the call comes as soon as the head has arrived, and reading from the socket stops.
+ */
 export const readWireRequests = (
   socket: Socket,
   onRequest: (head: string, body: string) => void,
-  isBodyLeft: (head: string) => boolean = () => false,
+  shouldSkipBody: (head: string) => boolean = () => false,
 ): void => {
   let text = "";
   socket.on("error", () => undefined);
@@ -27,16 +30,16 @@
     if (end < 0) return;
     const head = text.slice(0, end);
     const length = Number(findHeader(head, "Content-Length") ?? 0);
-    const isLeft = length > 0 && isBodyLeft(head);
-    if (!isLeft && text.length < end + HEAD_END.length + length) return;
+    const isBodySkipped = length > 0 && shouldSkipBody(head);
+    if (!isBodySkipped && text.length < end + HEAD_END.length + length) return;
     const body = text.slice(end + HEAD_END.length);
     text = "";
-    if (isLeft) socket.pause();
+    if (isBodySkipped) socket.pause();
     onRequest(head, body);
   });
 };
 
-/** Report of an engine at which nothing runs. */
+/** Load report of an idle engine. */
 export const IDLE_REPORT = {
   stage: "dual",
   state: "ready",
@@ -51,7 +54,7 @@
   runs: [],
 } as const;
 
-/** Answers with JSON; `headers` are whole lines. */
+/** Sends a JSON answer; `headers` are whole header lines without line ends. */
 export const sendWireJson = (
   socket: Socket,
   body: unknown,
--- a/packages/standins/src/writePacer.ts
+++ b/packages/standins/src/writePacer.ts
@@ -1,9 +1,9 @@
-/** Spaces writes so that the stand-in platform does not exceed its rate. */
+/** Delays writes so that the stand-in platform does not exceed its write rate. */
 import type { Clock, Ms } from "@stairgauge/common";
 
 const MS_PER_SECOND = 1_000;
 
-/** Creates a pacer; `reserve` returns how long the next write has to wait. */
+/** Creates a pacer; `reserve` reserves the next write and returns how long it has to wait. */
 export const createWritePacer = (clock: Clock) => {
   let nextFreeAt = 0;
   return {
