--- a/packages/testkit/src/fakeEngine.ts
+++ b/packages/testkit/src/fakeEngine.ts
@@ -1,18 +1,19 @@
-/** An engine client that does only what a test tells it, and records what it was asked. */
+/** Fake engine client for tests. It records calls and opened links; the test itself calls the links' handlers. */
 import { Ok, type GenerationId } from "@stairgauge/common";
 import type { EngineClient, LinkHandlers, LoadReport } from "@stairgauge/engines";
 
-/** A link that the code under test opened. */
+/** A link that the code under test has opened. */
 export type FakeLink = Readonly<{
   kind: "start" | "resume";
   address: string;
   generation: GenerationId;
+  /** Index of the first frame asked for. */
   from: number;
   handlers: LinkHandlers;
   state: { isPaused: boolean; isClosed: boolean };
 }>;
 
-/** A fake engine and its records. */
+/** A fake engine with the links and cancellations that it has recorded. */
 export type FakeEngine = Readonly<{
   client: EngineClient;
   links: readonly FakeLink[];
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,4 +1,4 @@
-/** Help for tests: sites of separate processes, and a small caller. */
+/** Test helpers: sites of separate processes, a streaming client and a fake engine. */
 export { spawnProcess } from "./spawnProcess.js";
 export type { SpawnedProcess } from "./spawnProcess.js";
 export { createBoxBefore, createProcessSite, spawnStandin } from "./processSite.js";
--- a/packages/testkit/src/processSite.ts
+++ b/packages/testkit/src/processSite.ts
@@ -1,4 +1,4 @@
-/** A site of separate processes: stand-in engines, service, platform, and entry boxes. */
+/** Test sites of separate processes: stand-in engines, services and platform, and boxes. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -12,28 +12,31 @@
 const LISTENING_LINE = /"callers":(\d+),"operators":(\d+)/;
 const TEST_SECRET = "test-secret-test-secret-test-secret-test";
 
-/** A stand-in process and its address. */
+/** A stand-in process and its address, IP:PORT. */
 export type StandinProcess = Readonly<{ process: SpawnedProcess; address: string }>;
 
 /** A box process and its addresses. */
 export type BoxProcess = Readonly<{
   process: SpawnedProcess;
-  /** Base URL for callers. */
+  /** Base URL for clients. */
   url: string;
   /** Base URL of the operators' port. */
   operatorsUrl: string;
 }>;
 
-/** What a site is made of. */
+/** Size and settings of a site. */
 export type ProcessSiteOptions = Readonly<{
+  /** Number of engines. */
   engines: number;
+  /** Number of plain servers. */
   services: number;
+  /** Number of boxes. */
   boxes: number;
-  /** Fixed part of an engine's decoding step, milliseconds. */
+  /** Fixed duration of an engine's decoding step, in milliseconds; 2 by default. */
   stepMs?: number;
-  /** Operators whom the boxes trust beside the example's. */
+  /** Operators whom the boxes trust besides the example's. */
   trusted?: readonly TrustedOperator[];
-  /** Settings of the boxes beyond the necessary ones. */
+  /** Additional settings of the boxes; they override the defaults. */
   settings?: Readonly<Record<string, unknown>>;
 }>;
 
@@ -43,11 +46,11 @@
   services: readonly StandinProcess[];
   platform: StandinProcess;
   boxes: readonly BoxProcess[];
-  /** Ends every process of the site. */
+  /** Kills all processes of the site and deletes its files. */
   destroy: () => Promise<void>;
 }>;
 
-/** Starts a stand-in as a process of its own, on any free port unless it is named. */
+/** Starts a stand-in as a separate process on the given port, or on any free one if it is 0. */
 export const spawnStandin = async (
   args: readonly string[],
   port = 0,
@@ -79,7 +82,7 @@
   readonly trusted: readonly TrustedOperator[];
   readonly extra: Readonly<Record<string, unknown>>;
 }) => {
-  // The example's operators are made from published text, so any bundle names the same ones.
+  // The example operators' keys follow from their names, so any example bundle yields the same operators.
   const { trusted } = signExampleBundle(
     buildExampleBundle({ engines: ["127.0.0.1:1"], services: ["127.0.0.1:2"] }),
     1,
@@ -103,7 +106,7 @@
   rmSync(folder, { recursive: true, force: true });
 };
 
-/** Starts all processes of a site and waits until its boxes serve. */
+/** Starts all processes of a site and waits until each box has a bundle in force. */
 export const createProcessSite = async (
   options: ProcessSiteOptions,
 ): Promise<ProcessSite> => {
@@ -152,7 +155,7 @@
   };
 };
 
-/** One box before an engine that runs already, for benchmarks. */
+/** Starts one box that forwards to an engine that is already running, for benchmarks. */
 export const createBoxBefore = async (
   engine: string,
 ): Promise<BoxProcess & Readonly<{ destroy: () => Promise<void> }>> => {
--- a/packages/testkit/src/readStream.ts
+++ b/packages/testkit/src/readStream.ts
@@ -1,34 +1,37 @@
-/** A small caller: reads a streamed answer event by event. */
+/** A small client that reads a streamed chat answer event by event. */
 import { request } from "undici";
 
 /** One server-sent event of an answer. */
 export type AnswerEvent = Readonly<{ id: string | undefined; data: string }>;
 
-/** What a caller got. */
+/** What the client received. */
 export type CallerView = Readonly<{
   status: number;
   headers: Readonly<Record<string, string | string[] | undefined>>;
   events: readonly AnswerEvent[];
-  /** Body of an answer that was no event stream. */
+  /** The whole body as text, whether or not it is an event stream. */
   body: string;
   /** Texts of the tokens, in order of arrival. */
   tokens: readonly string[];
-  /** Whether the answer reached its marked end. */
+  /** Whether the last event is `[DONE]`. */
   isWhole: boolean;
-  /** Whether the connection broke. */
+  /** Whether reading failed, for example because the connection broke. */
   isCut: boolean;
+  /** Id of the last event that has one; undefined if none has. */
   lastId: string | undefined;
-  /** Generation that the answer names. */
+  /** Generation id from the first event with JSON data; empty if there is none. */
   generation: string;
 }>;
 
-/** A request of the small caller. */
+/** A streamed chat request. */
 export type CallerAsk = Readonly<{
   url: string;
+  /** API key. */
   key: string;
   prompt: string;
+  /** Last event that was received, to resume a stream after it. */
   lastEventId?: string | undefined;
-  /** Called after each token; "leave" closes the connection. */
+  /** Called after each token with the number of tokens so far; "leave" closes the connection. */
   onToken?: (count: number) => "leave" | undefined | Promise<"leave" | undefined>;
 }>;
 
@@ -58,19 +61,21 @@
     : "";
 };
 
-/** Asks for a streamed chat answer and reads it to its end. */
-export const readStream = async (ask: CallerAsk): Promise<CallerView> => {
-  const response = await request(`${ask.url}/v1/chat/completions`, {
+/** Sends a streamed chat request and reads the answer until it ends or breaks off. */
+export const readStream = async (options: CallerAsk): Promise<CallerView> => {
+  const response = await request(`${options.url}/v1/chat/completions`, {
     method: "POST",
     headers: {
-      authorization: `Bearer ${ask.key}`,
+      authorization: `Bearer ${options.key}`,
       "content-type": "application/json",
-      ...(ask.lastEventId === undefined ? {} : { "last-event-id": ask.lastEventId }),
+      ...(options.lastEventId === undefined
+        ? {}
+        : { "last-event-id": options.lastEventId }),
     },
     body: JSON.stringify({
       model: "redac-llm",
       stream: true,
-      messages: [{ role: "user", content: ask.prompt }],
+      messages: [{ role: "user", content: options.prompt }],
     }),
     headersTimeout: 30_000,
   });
@@ -78,13 +83,13 @@
   const events: AnswerEvent[] = [];
   const tokens: string[] = [];
   let body = "";
-  let rest = "";
+  let incompleteEvent = "";
   let isCut = false;
   try {
     for await (const chunk of response.body) {
       body += String(chunk);
-      const blocks = (rest + String(chunk)).split("\n\n");
-      rest = blocks.pop() ?? "";
+      const blocks = (incompleteEvent + String(chunk)).split("\n\n");
+      incompleteEvent = blocks.pop() ?? "";
       for (const block of blocks) {
         const event = parseEvent(block);
         if (!event) continue;
@@ -92,7 +97,7 @@
         const token = findToken(event);
         if (token === undefined) continue;
         tokens.push(token);
-        if ((await ask.onToken?.(tokens.length)) === "leave") {
+        if ((await options.onToken?.(tokens.length)) === "leave") {
           response.body.destroy();
           break;
         }
--- a/packages/testkit/src/spawnProcess.ts
+++ b/packages/testkit/src/spawnProcess.ts
@@ -1,15 +1,16 @@
-/** Starts a program of this repository as a process of its own. For tests and benchmarks only. */
+/** Starts Node programs as child processes, for tests and benchmarks only. */
 import { spawn, type ChildProcess } from "node:child_process";
 import { createInterface } from "node:readline";
 
 /** A started process. */
 export type SpawnedProcess = Readonly<{
+  /** 0 if the process could not be started. */
   pid: number;
-  /** Resolves with the first line, of either output, that matches; rejects if the process ends first. */
+  /** Resolves with the first line of stdout or stderr that matches; rejects if the process ends first. */
   waitForLine: (pattern: RegExp) => Promise<RegExpExecArray>;
-  /** All lines so far. */
+  /** All lines of stdout and stderr so far. */
   listLines: () => readonly string[];
-  /** Resolves with the exit code, null after a signal. */
+  /** Resolves with the exit code, or null if a signal ended the process. */
   waitForExit: () => Promise<number | null>;
   kill: (signal: NodeJS.Signals) => void;
 }>;
@@ -20,16 +21,16 @@
   reject: (error: Error) => void;
 }>;
 
-/** Processes that still run: none outlives the program that started it, even where that one fails. */
-const living = new Set<ChildProcess>();
+/** Running child processes. They are killed when this process exits, also after an uncaught error, so that none is left over. */
+const runningChildren = new Set<ChildProcess>();
 process.once("exit", () => {
-  for (const child of living) child.kill("SIGKILL");
+  for (const child of runningChildren) child.kill("SIGKILL");
 });
 
-/** Starts `node ARGS`. */
+/** Starts `node` with these arguments. */
 export const spawnProcess = (args: readonly string[]): SpawnedProcess => {
   const child = spawn(process.execPath, [...args], { stdio: ["ignore", "pipe", "pipe"] });
-  living.add(child);
+  runningChildren.add(child);
   const lines: string[] = [];
   let waiters: LineWaiter[] = [];
   let exit: { readonly code: number | null } | undefined;
@@ -48,7 +49,7 @@
   const exited = new Promise<number | null>((resolve) => {
     child.on("close", (code) => {
       exit = { code };
-      living.delete(child);
+      runningChildren.delete(child);
       const error = new Error(
         `node ${args.join(" ")} ended (${code}):\n${lines.join("\n")}`,
       );
@@ -70,7 +71,11 @@
         if (match) return Promise.resolve(match);
       }
       if (exit)
-        return Promise.reject(new Error(`ended before ${pattern}: ${lines.join("\n")}`));
+        return Promise.reject(
+          new Error(
+            `process ended before a line matched ${pattern}: ${lines.join("\n")}`,
+          ),
+        );
       return new Promise((resolve, reject) => waiters.push({ pattern, resolve, reject }));
     },
   };
