--- a/packages/claims/src/claimRecord.ts
+++ b/packages/claims/src/claimRecord.ts
@@ -1,4 +1,4 @@
-/** Claims as rows of the table service. */
+/** Encoding of claims as rows of the table service. */
 import { z } from "zod";
 import type { WorkspaceName } from "@stairgauge/common";
 import type { Claim, FoundClaim } from "@stairgauge/outcomes";
@@ -27,21 +27,20 @@
   ]),
 });
 
-/** A caller's key, within its workspace. */
+/** The key that a caller sent with a call, unique within its workspace. */
 export type OnceKey = Readonly<{ workspace: WorkspaceName; key: string }>;
 
-/** Place of a key's claim. */
+/** Returns the table and row key under which a key's claim is stored. */
 export const toClaimRow = ({ workspace, key }: OnceKey): RowKey => ({
   table: TABLE,
   key: `${workspace}/${key}`,
 });
 
-/** Encodes a claim for its row. */
 export const encodeClaim = (claim: Claim): string => JSON.stringify(claim);
 
 /**
- * Decodes a claim's row. A row that is no claim counts as one that was taken and never ended, so
- * that nothing runs on the strength of what cannot be read.
+ * Decodes a claim's row. A row that cannot be decoded counts as a claim with an unknown outcome, so
+ * that no call runs because of unreadable data.
  */
 export const decodeClaim = (row: Row): FoundClaim => {
   const { revision } = row;
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls that may run once: claims in the table service, batched within a write budget. */
+/** At-most-once calls: claims stored in the table service, with writes batched and rate-limited. */
 export type { OnceKey } from "./claimRecord.js";
 export { createOnceGuard } from "./onceGuard.js";
 export type { ClaimedCall, OnceGuard, OnceHandlers } from "./onceGuard.js";
--- a/packages/claims/src/onceGuard.test.ts
+++ b/packages/claims/src/onceGuard.test.ts
@@ -1,6 +1,6 @@
 /**
- * The once-guard against a naive serial table: random calls with few keys, from several boxes, while
- * the store is down, slow, and loses answers of writes that took effect, and boxes die.
+ * Tests the once-guard with random calls from two boxes that share two keys. The store is down or
+ * slow at times and loses answers of writes that took effect. A box may crash during a call.
  */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
@@ -45,7 +45,7 @@
     box: fc.nat(1),
     key: fc.constantFrom("k1", "k2"),
     content: fc.constantFrom("c1", "c1", "c1", "c2"),
-    how: fc.constantFrom("answer", "answer", "lose", "connect_failed", "die"),
+    ending: fc.constantFrom("answer", "answer", "lose", "connect_failed", "crash"),
     takesMs: fc.constantFrom(0, 300, 5_000),
   }),
   fc.record({
@@ -66,7 +66,7 @@
 type Step = typeof STEP extends fc.Arbitrary<infer T> ? T : never;
 type Call = Extract<Step, { kind: "call" }>;
 
-/** Drives schedules over a guard and checks each promise at the end. */
+/** Runs the steps, then checks every guarantee; returns the first violation, or undefined. */
 const checkSchedule = async (
   steps: readonly Step[],
   wrap: (guard: OnceGuard) => OnceGuard,
@@ -80,16 +80,16 @@
   const startCall = (call: Call) => {
     const record = (answer: Answer) => answers.push({ call, answer });
     const finish = (claimed: ClaimedCall) => {
-      const ran = call.how === "answer" || call.how === "lose";
+      const ran = call.ending === "answer" || call.ending === "lose";
       if (ran) runs.set(call.key, (runs.get(call.key) ?? 0) + 1);
-      if (call.how === "die") return;
-      if (call.how === "answer") {
+      if (call.ending === "crash") return;
+      if (call.ending === "answer") {
         const body = `${call.key} ${call.content}`;
         record({ kind: "answered", body });
         void claimed.recordAnswer(makeAnswer(body));
         return;
       }
-      const outcome = call.how === "lose" ? "unknown" : "not_run";
+      const outcome = call.ending === "lose" ? "unknown" : "not_run";
       record({ kind: "failed", outcome });
       void claimed.recordFailure(outcome);
     };
@@ -118,17 +118,17 @@
   await bench.advance(SETTLE_MS);
 
   const calls = steps.filter((step) => step.kind === "call");
-  const silent = calls.filter((call) => call.how === "die").length;
+  const crashed = calls.filter((call) => call.ending === "crash").length;
   for (const [key, count] of runs) {
     if (count > 1) return `${key} ran ${count} times`;
   }
-  if (answers.length + silent < calls.length) return "a call has no answer";
+  if (answers.length + crashed < calls.length) return "a call has no answer";
   for (const { call, answer } of answers) {
     if (answer.kind === "answered" && answer.body !== `${call.key} ${call.content}`) {
       return "a call got another call's answer";
     }
     if (answer.kind === "refused" && answer.outcome === "not_run" && sent.has(call)) {
-      return "a call that was sent was said not to have run";
+      return "a call that was sent was refused as not run";
     }
   }
   return undefined;
@@ -140,19 +140,19 @@
 ) =>
   fc.check(
     fc.asyncProperty(fc.array(STEP, { maxLength: 25 }), async (steps) => {
-      const fault = await checkSchedule(steps, wrap);
-      if (fault !== undefined) throw new Error(fault);
+      const violation = await checkSchedule(steps, wrap);
+      if (violation !== undefined) throw new Error(violation);
     }),
     { seed: 42, numRuns },
   );
 
 describe("createOnceGuard", () => {
-  it("runs a key at most once and answers every call, over 1,000 schedules", async () => {
+  it("runs each key at most once and answers every call in 1,000 random schedules", async () => {
     const result = await runSchedules(1_000);
     expect(result.failed ? fc.defaultReportMessage(result) : undefined).toBeUndefined();
   });
 
-  it("is caught when it sends before the claim is confirmed", async () => {
+  it("detects a guard that sends a call before its claim is confirmed", async () => {
     const sendFirst = (guard: OnceGuard): OnceGuard => ({
       claim: (call, handlers) => {
         const resolveAtOnce = () => Promise.resolve();
@@ -163,7 +163,7 @@
     expect((await runSchedules(1_000, sendFirst)).failed).toBe(true);
   });
 
-  it("is caught when it answers a repeat without looking at its content", async () => {
+  it("detects a guard that does not compare the content of a repeat", async () => {
     const wrapIgnoringContent = (guard: OnceGuard): OnceGuard => ({
       claim: (call, handlers) => guard.claim({ ...call, contentHash: "same" }, handlers),
     });
@@ -187,7 +187,7 @@
     return seen;
   };
 
-  it("takes a lost answer to its own write for a claim, and answers a repeat the same", async () => {
+  it("sends the call after the answer to its claim's write is lost, and replays its answer to a repeat", async () => {
     const bench = createBench(1);
     bench.model.setMode({ answersToLose: 1 });
     expect(await claimOnce(bench)).toEqual(["sent"]);
@@ -195,7 +195,7 @@
     expect(await claimOnce(bench, "other")).toEqual(["key_reused not_run"]);
   });
 
-  it("refuses while the store is down, truly not run, and runs later", async () => {
+  it("refuses a call as not run while the store is down, and sends its repeat later", async () => {
     const bench = createBench(1);
     bench.model.setMode({ isDown: true });
     expect(await claimOnce(bench)).toEqual(["store_unavailable not_run"]);
@@ -203,7 +203,7 @@
     expect(await claimOnce(bench)).toEqual(["sent"]);
   });
 
-  it("never runs again what an owner took that is gone", async () => {
+  it("reports an unknown outcome and does not send again when the claiming box has crashed", async () => {
     const bench = createBench(1);
     const key = { workspace: WORKSPACE, key: "k" };
     const drop = () => undefined;
--- a/packages/claims/src/onceGuard.ts
+++ b/packages/claims/src/onceGuard.ts
@@ -1,4 +1,4 @@
-/** Shell of the once-guard: claims a key in the table service, then lets the call be sent. */
+/** Runs calls at most once: a call is sent only after its key was claimed in the table service. */
 import { assertNever, type Clock, type Ms, type Random } from "@stairgauge/common";
 import {
   createOnceCall,
@@ -13,38 +13,43 @@
 import { decodeClaim, encodeClaim, toClaimRow, type OnceKey } from "./claimRecord.js";
 import type { WriteBatcher } from "./writeBatcher.js";
 
+/** Attempts to write how a call ended. */
 const MAX_END_WRITES = 4;
 
-/** Wait between two tries against a store that gave no answer. */
+/** Delay before the next attempt after a failed read or write of the store. */
 const RETRY_DELAY_MS = 200 as Ms;
 
-/** Longest life of a claimed call: past it, its owner has surely given up. */
+/** Milliseconds until a claim expires. By then the box that made it has stopped waiting for the call. */
 const CALL_LIFE_MS = 120_000;
 
-/** What the guard tells of one call. Exactly one of these is called, once. */
+/** Callbacks for one call. Exactly one of them is called, once. */
 export type OnceHandlers = Readonly<{
   /** The claim is confirmed: send the call now. */
   onSend: (claimed: ClaimedCall) => void;
+  /** The call ran before: return its stored answer. */
   onReplay: (answer: KeptAnswer) => void;
+  /** The call is not sent; `outcome` says whether it may have run before. */
   onRefused: (reason: OnceRefusal, outcome: Outcome) => void;
 }>;
 
-/** A call whose claim is held; tell how it ended, once. */
+/** A call whose claim is confirmed. Its owner must record once how it ended. */
 export type ClaimedCall = Readonly<{
-  /** Resolves once the end has been recorded or that was given up. */
+  /** Resolves once the answer is stored, or after the last attempt to store it has failed. */
   recordAnswer: (answer: KeptAnswer | undefined) => Promise<void>;
+  /** Resolves like `recordAnswer`. */
   recordFailure: (outcome: Outcome) => Promise<void>;
 }>;
 
-/** Guards calls that may run once. */
+/** Runs each call at most once per key. */
 export type OnceGuard = Readonly<{
+  /** Claims the call's key, then calls one of the handlers. */
   claim: (
     call: Readonly<{ key: OnceKey; contentHash: string }>,
     handlers: OnceHandlers,
   ) => void;
 }>;
 
-/** Creates the guard of a box. */
+/** Creates the guard of one box. */
 export const createOnceGuard = (deps: {
   readonly table: TableService;
   readonly batcher: WriteBatcher;
@@ -109,10 +114,10 @@
       } else await send({ kind: "claimRead", found: row.val && decodeClaim(row.val) });
     };
     const writeEnd = async (value: Claim, revision: number) => {
-      for (let tries = 0; tries < MAX_END_WRITES; tries += 1) {
+      for (let attempts = 0; attempts < MAX_END_WRITES; attempts += 1) {
         const expected = { kind: "revision", revision } as const;
         const result = await batcher.write({ at, value: encodeClaim(value), expected });
-        // NOTE: after a lost answer the repeat meets a conflict with this very end.
+        // NOTE: a conflict can mean that an earlier attempt was written but its answer was lost.
         if (result.ok || result.val.kind === "conflict") return;
         await wait();
       }
