--- a/packages/rollout/src/headRecord.ts
+++ b/packages/rollout/src/headRecord.ts
@@ -1,9 +1,9 @@
-/** Where the head stands in the table service, and its encoding. */
+/** Rows of the head and of proposals in the table service, and their encoding. */
 import { z } from "zod";
 import type { Approval, BundleHead } from "@stairgauge/bundle";
 import type { RowKey } from "@stairgauge/stores";
 
-/** The one row whose compare-and-set rolls a bundle out. */
+/** The head's row. A conditional write to it rolls out a bundle. */
 export const HEAD_ROW: RowKey = { table: "bundle", key: "head" };
 
 const approvalSchema = z.object({
@@ -28,13 +28,16 @@
 });
 
 const recordSchema = headSchema.extend({
-  /** Operator who rolled it out. */
+  /** Operator who rolled out this version. */
   by: z.string().default("unknown"),
   /** Wall time of the roll-out, milliseconds since 1970. */
   at: z.number().default(0),
-  /** Tells a lost answer of one's own roll-out from another's. */
+  /**
+   * Random id of the roll-out. After a lost answer it shows whether this roll-out or another one wrote
+   * the row.
+   */
   attempt: z.string().default(""),
-  /** Versions before it, newest first. */
+  /** Earlier versions, newest first. */
   past: z.array(pastSchema).default([]),
 });
 
@@ -45,14 +48,14 @@
   approvals: z.array(approvalSchema),
 });
 
-/** A version as the history keeps it. */
+/** An earlier version of the head. */
 export type PastVersion = Readonly<z.infer<typeof pastSchema>>;
 
-/** The head's row: the head itself, and who rolled it out. */
+/** Value of the head's row: the head, its roll-out and the earlier versions. */
 export type HeadRecord = BundleHead &
   Readonly<{ by: string; at: number; attempt: string; past: readonly PastVersion[] }>;
 
-/** A proposed bundle and the approvals that it has so far. */
+/** A proposed bundle and its approvals so far. `at` is in milliseconds since 1970. */
 export type Proposal = Readonly<{
   digest: string;
   proposer: string;
@@ -68,29 +71,27 @@
   }
 };
 
-/** Encodes a head for its row. */
 export const encodeHead = (head: BundleHead | HeadRecord): string => JSON.stringify(head);
 
-/** Decodes a row's value; undefined where it is no head. */
+/** Decodes the head from its row's value; undefined if it is malformed. */
 export const decodeHead = (value: string): BundleHead | undefined =>
   decodeAs(headSchema, value);
 
-/** Decodes the whole of the head's row. */
+/** Decodes the whole value of the head's row; undefined if it is malformed. */
 export const decodeHeadRecord = (value: string): HeadRecord | undefined =>
   decodeAs(recordSchema, value);
 
-/** Place of a proposal. */
+/** Returns the table and row key of a proposal. */
 export const toProposalRow = (digest: string): RowKey => ({
   table: "proposals",
   key: digest,
 });
 
-/** Encodes a proposal for its row. */
 export const encodeProposal = (proposal: Proposal): string => JSON.stringify(proposal);
 
-/** Decodes a proposal's row. */
+/** Decodes a proposal from its row's value; undefined if it is malformed. */
 export const decodeProposal = (value: string): Proposal | undefined =>
   decodeAs(proposalSchema, value);
 
-/** Name of a bundle's content in the object store. */
+/** Returns the name of a bundle's content in the object store. */
 export const toObjectName = (digest: string): string => `bundle-${digest}`;
--- a/packages/rollout/src/headWatcher.ts
+++ b/packages/rollout/src/headWatcher.ts
@@ -1,4 +1,4 @@
-/** Watches the platform's head and adopts each higher version whose sign-off holds. */
+/** Polls the platform's head and adopts each higher version that has enough valid approvals. */
 import {
   adoptHead,
   type ActiveBundle,
@@ -17,7 +17,7 @@
 import type { Platform, ReadFailure } from "@stairgauge/stores";
 import { decodeHead, HEAD_ROW, toObjectName } from "./headRecord.js";
 
-/** Why a look at the head brought no new bundle. */
+/** Why a new head could not be read or adopted. */
 export type WatchFailure = Readonly<
   | HeadFailure
   | ReadFailure
@@ -25,24 +25,24 @@
   | { kind: "content_missing"; digest: string }
 >;
 
-/** What a watcher needs. */
 export type HeadWatcherOptions = Readonly<{
   platform: Platform;
   rules: SignOffRules;
   clock: Clock;
+  /** Time between two reads of the head. */
   interval: Ms;
   onAdopted: (active: ActiveBundle) => void;
   onFailure: (failure: WatchFailure) => void;
 }>;
 
-/** A running watcher. */
+/** Polls the head while it is started. */
 export type HeadWatcher = Poller &
   Readonly<{
-    /** Looks once; true where a new bundle came into force. */
+    /** Reads the head once; resolves to true if a new bundle was adopted. */
     look: () => Promise<boolean>;
   }>;
 
-/** Creates a watcher that holds no bundle yet. */
+/** Creates a watcher that has adopted no bundle yet. */
 export const createHeadWatcher = (options: HeadWatcherOptions): HeadWatcher => {
   const { platform, rules, clock } = options;
   let version = 0;
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,4 +1,4 @@
-/** Bringing bundles into force: operators' steps, the head's record and the watcher of each box. */
+/** Rollout of bundles: the operators' steps, the head's record and the watcher that each box runs. */
 export { decodeHead, encodeHead, HEAD_ROW, toObjectName } from "./headRecord.js";
 export type { HeadRecord, PastVersion, Proposal } from "./headRecord.js";
 export { createHeadWatcher } from "./headWatcher.js";
--- a/packages/rollout/src/operatorFlows.test.ts
+++ b/packages/rollout/src/operatorFlows.test.ts
@@ -1,4 +1,4 @@
-/** Operators' steps: sign-off, races, lost answers and outages. */
+/** Tests the operators' steps: approvals, concurrent roll-outs, lost answers and store outages. */
 import { generateKeyPairSync } from "node:crypto";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
@@ -42,7 +42,7 @@
   return { clock, model, platform, rules, createFlows, flows: createFlows(1) };
 };
 
-/** Proposes as Ann, approves as Bob; returns the digest. */
+/** Proposes a bundle as Ann and approves it as Bob; returns its digest. */
 const prepareApproved = async (
   bench: ReturnType<typeof createBench>,
   variant: number,
@@ -53,8 +53,8 @@
   return proposed.val.digest;
 };
 
-describe("operators' steps", () => {
-  it("bring a bundle into force once others have approved it", async () => {
+describe("createOperatorFlows", () => {
+  it("rolls out a bundle only after another trusted operator has approved it", async () => {
     const bench = createBench();
     const proposed = await bench.flows.propose(buildBundle(1), ANN.name);
     const digest = proposed.ok ? proposed.val.digest : "";
@@ -83,7 +83,7 @@
     expect(versions).toEqual([1]);
   });
 
-  it("roll forward to older content as a new version, and remember the history", async () => {
+  it("rolls out older content as a new version and keeps the earlier versions", async () => {
     const bench = createBench();
     const [first, second] = [
       await prepareApproved(bench, 1),
@@ -99,7 +99,7 @@
     ]);
   });
 
-  it("tell the loser of a race by whom it was overtaken", async () => {
+  it("names the winner to the loser of two concurrent roll-outs", async () => {
     const bench = createBench();
     const [first, second] = [
       await prepareApproved(bench, 1),
@@ -118,7 +118,7 @@
     });
   });
 
-  it("refuse content that was changed under its digest, and digests that nobody proposed", async () => {
+  it("refuses content that does not match its digest, and digests that were never proposed", async () => {
     const bench = createBench();
     const digest = await prepareApproved(bench, 1);
     bench.model.writeObject(`bundle-${digest}`, "{}");
@@ -131,7 +131,7 @@
     });
   });
 
-  it("give each version one content and each success one version, under races and lost answers", async () => {
+  it("gives each successful roll-out its own version under concurrent roll-outs and lost answers", async () => {
     const step = fc.record({
       operator: fc.nat(1),
       variant: fc.nat(2),
--- a/packages/rollout/src/operatorFlows.ts
+++ b/packages/rollout/src/operatorFlows.ts
@@ -1,4 +1,4 @@
-/** What operators do with bundles: propose, approve, roll out. Each step is safe to repeat. */
+/** The operators' steps: propose, approve and roll out a bundle. Each step can be repeated safely. */
 import {
   computeDigest,
   countApprovals,
@@ -24,10 +24,10 @@
   type Proposal,
 } from "./headRecord.js";
 
-/** Writes of one step whose answers may be lost or that others may overtake. */
-const MAX_TRIES = 5;
+/** Attempts of each write or read of a step. A write can fail by a lost answer or a conflict. */
+const MAX_ATTEMPTS = 5;
 
-/** Versions that the head remembers. */
+/** Earlier versions kept in the head's record. */
 const MAX_PAST = 50;
 
 /** Why a step failed. */
@@ -38,14 +38,13 @@
   | { kind: "own_proposal"; proposer: string }
   | { kind: "unknown_operator"; operator: string }
   | { kind: "too_few_approvals"; valid: number; needed: number }
-  /** Another operator's roll-out came first. */
+  /** Another roll-out was written first; the fields describe the head that is now in force. */
   | { kind: "overtaken"; version: number; by: string; digest: string }
-  /** It may or may not have been rolled out: look again. */
+  /** The write may or may not have taken effect: read the state again. */
   | { kind: "outcome_unknown" }
   | BundleFailure
 >;
 
-/** What the steps need. */
 export type OperatorDeps = Readonly<{
   platform: Platform;
   clock: Clock;
@@ -53,10 +52,10 @@
   rules: SignOffRules;
 }>;
 
-/** An operator who acts; the private key is PEM (PKCS 8, Ed25519). */
+/** An operator who signs an approval. `privateKey` is PEM (PKCS 8, Ed25519). */
 export type Operator = Readonly<{ name: string; privateKey: string }>;
 
-/** The steps. */
+/** The operators' steps. Digests are those of a bundle's canonical content. */
 export type OperatorFlows = Readonly<{
   propose: (
     bundle: Bundle,
@@ -79,7 +78,6 @@
 
 const UNAVAILABLE = { kind: "store_unavailable" } as const;
 
-/** Creates the steps. */
 export const createOperatorFlows = (deps: OperatorDeps): OperatorFlows => {
   const { platform, clock, random, rules } = deps;
 
@@ -105,7 +103,7 @@
     expected: found ? { kind: "revision", revision: found.revision } : { kind: "absent" },
   });
 
-  const findProposal = async (
+  const readProposalRow = async (
     digest: string,
   ): Promise<Result<Found<Proposal>, OperatorFailure>> => {
     const found = await readRow(toProposalRow(digest), decodeProposal);
@@ -123,10 +121,10 @@
   };
 
   const writeContent = async (digest: string, content: string): Promise<boolean> => {
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
       const written = await platform.objects.write(toObjectName(digest), content);
       if (written.ok) return true;
-      // NOTE: the same content under its own digest may be written again.
+      // NOTE: writing the same content again under its digest is harmless.
       if (written.val.kind === "store_unavailable") return false;
     }
     return false;
@@ -142,10 +140,10 @@
       at: clock.now(),
       approvals: [],
     };
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
       const existing = await readRow(toProposalRow(digest), decodeProposal);
       if (existing.err) return existing;
-      // The same content was proposed before, perhaps by this very step: that one stands.
+      // The same content was proposed before, perhaps by an earlier attempt: keep that proposal.
       if (existing.val) return Ok(existing.val.value);
       const write = toWrite(toProposalRow(digest), encodeProposal(proposal), undefined);
       const written = await platform.table.write(write);
@@ -160,8 +158,8 @@
     if (content.err) return content;
     const { name, privateKey } = operator;
     const approval = signDigest({ digest, operator: name, privateKey });
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
-      const found = await findProposal(digest);
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
+      const found = await readProposalRow(digest);
       if (found.err) return found;
       const { value: proposal } = found.val;
       if (proposal.proposer === name)
@@ -212,27 +210,27 @@
     };
   };
 
-  /** Settles a roll-out whose answer was lost, by looking for its attempt in the head. */
-  const settleRollOut = async (
+  /** Finds out whether a roll-out whose answer was lost was written, by searching the head for it. */
+  const resolveRollOut = async (
     record: HeadRecord,
   ): Promise<Result<HeadRecord, OperatorFailure> | "not_written"> => {
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
       const head = await readHeadRow();
       if (head.err) continue;
       const current = head.val?.value;
       if (current?.attempt === record.attempt) return Ok(record);
       if ((current?.version ?? 0) < record.version) return "not_written";
-      const wasOurs = current?.past.some(
+      const wasWritten = current?.past.some(
         (one) =>
           one.version === record.version && one.at === record.at && one.by === record.by,
       );
-      if (wasOurs) return Ok(record);
-      return Err(describeOvertaking(current));
+      if (wasWritten) return Ok(record);
+      return Err(describeConflict(current));
     }
     return Err({ kind: "outcome_unknown" });
   };
 
-  const describeOvertaking = (current: HeadRecord | undefined): OperatorFailure =>
+  const describeConflict = (current: HeadRecord | undefined): OperatorFailure =>
     current
       ? {
           kind: "overtaken",
@@ -254,7 +252,7 @@
   const rollOut: OperatorFlows["rollOut"] = async (digest, operator) => {
     const content = await readBundle(digest);
     if (content.err) return content;
-    const proposal = await findProposal(digest);
+    const proposal = await readProposalRow(digest);
     if (proposal.err) return proposal;
     const tooFew = checkApprovals(proposal.val.value);
     if (tooFew) return Err(tooFew);
@@ -266,7 +264,7 @@
       operator,
       attempt: random.nextId(),
     });
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
       const write = toWrite(HEAD_ROW, encodeHead(record), head.val);
       const written = await platform.table.write(write);
       if (written.ok) return Ok(record);
@@ -274,13 +272,13 @@
       if (failure.kind === "store_unavailable") return Err(UNAVAILABLE);
       if (failure.kind === "conflict") {
         const current = decodeRow(failure.current);
-        // NOTE: an earlier try of this very step whose answer was lost.
+        // NOTE: the row may hold an earlier attempt of this step whose answer was lost.
         return current?.attempt === record.attempt
           ? Ok(record)
-          : Err(describeOvertaking(current));
+          : Err(describeConflict(current));
       }
-      const settled = await settleRollOut(record);
-      if (settled !== "not_written") return settled;
+      const resolved = await resolveRollOut(record);
+      if (resolved !== "not_written") return resolved;
     }
     return Err({ kind: "outcome_unknown" });
   };
@@ -294,7 +292,7 @@
       return head.err ? head : Ok(head.val?.value);
     },
     readProposal: async (digest) => {
-      const found = await findProposal(digest);
+      const found = await readProposalRow(digest);
       return found.err ? found : Ok(found.val.value);
     },
     readBundle,
