--- a/packages/orders/src/orderLease.ts
+++ b/packages/orders/src/orderLease.ts
@@ -1,9 +1,9 @@
 /**
- * The lease under which one box at a time gives an engine orders, kept in the table service.
+ * The lease that lets only one box at a time send orders to an engine, stored in the table service.
  *
- * Each holder has a higher fencing token than all before it. An engine that checks tokens refuses
- * older ones. For one that does not, a new holder first waits until the longest order of the old
- * one has passed its deadline.
+ * Each new holder gets a higher fencing token than all holders before it. An engine that checks
+ * tokens refuses older ones. Before sending to an engine that does not, a new holder waits until the
+ * deadline of every order of the previous holder has passed.
  */
 import { z } from "zod";
 import { Err, Ok, type Clock, type Ms, type Result } from "@stairgauge/common";
@@ -13,14 +13,15 @@
 /** A lease that this box holds. */
 export type HeldLease = Readonly<{
   fencingToken: number;
+  /** Revision of the lease's row. */
   revision: number;
   /** Monotonic time until which orders may be sent. */
   usableUntil: Ms;
-  /** Monotonic time before which an engine that does not check tokens gets no order. */
+  /** Monotonic time before which no order is sent to an engine that does not check tokens. */
   quietUntil: Ms;
 }>;
 
-/** Why no lease was got. */
+/** Why the lease was not acquired. */
 export type LeaseFailure = Readonly<
   | { kind: "held_by_another"; holder: string; endsIn: Ms }
   | { kind: "lost_race" }
@@ -29,18 +30,18 @@
 
 /** The lease of one engine. */
 export type OrderLease = Readonly<{
-  /** Gets or renews the lease. */
+  /** Acquires or renews the lease. */
   acquire: () => Promise<Result<HeldLease, LeaseFailure>>;
-  /** The lease held, while orders may still be sent under it. */
+  /** Returns the lease while orders may be sent under it, else undefined. */
   getUsable: () => HeldLease | undefined;
 }>;
 
 const leaseSchema = z.object({
   holder: z.string(),
-  /** Tells two runs of one box apart. */
+  /** Id of the holder's process; it changes when the box restarts. */
   incarnation: z.string(),
   fencingToken: z.int(),
-  /** Wall time of the end; advice on how long to wait, never proof that it is over. */
+  /** Wall time of the lease's end. A hint for how long to wait, not proof that the lease has ended. */
   endsAt: z.number(),
 });
 
@@ -54,7 +55,7 @@
   }
 };
 
-/** Creates the lease of one engine as `holder` wants it. */
+/** Creates the lease of one engine for the box `holder`. */
 export const createOrderLease = (options: {
   readonly table: TableService;
   readonly clock: Clock;
@@ -69,8 +70,8 @@
   const isOwn = (record: LeaseRecord): boolean =>
     record.holder === holder && record.incarnation === incarnation;
 
-  /** Judges what stands in the table: whether it may be replaced. */
-  const findBlock = (record: LeaseRecord | undefined): LeaseFailure | undefined => {
+  /** Returns why the stored lease may not be replaced, or undefined if it may. */
+  const findConflict = (record: LeaseRecord | undefined): LeaseFailure | undefined => {
     if (!record || isOwn(record)) return undefined;
     const endsIn = (record.endsAt - clock.now()) as Ms;
     if (endsIn <= 0) return undefined;
@@ -88,13 +89,13 @@
   };
 
   const acquire = async (): Promise<Result<HeldLease, LeaseFailure>> => {
-    // NOTE: the lease counts from before the write, so a slow answer shortens it.
+    // NOTE: the lease's time counts from before the write, so a slow answer leaves less of it.
     const begunAt = clock.monotonic();
     const read = await table.read(at);
     if (read.err) return Err({ kind: "store_unavailable" });
     const current = read.val && decodeLease(read.val);
-    const block = findBlock(current);
-    if (block) return Err(block);
+    const conflict = findConflict(current);
+    if (conflict) return Err(conflict);
     const isRenewal = current !== undefined && isOwn(current);
     const fencingToken = (current?.fencingToken ?? 0) + (isRenewal ? 0 : 1);
     const record: LeaseRecord = {
@@ -114,7 +115,7 @@
       held = toHeld(written.val, record, begunAt);
       return Ok(held);
     }
-    // NOTE: after a lost answer the next acquire reads the row and finds it its own.
+    // NOTE: if the answer was lost, the next acquire reads the row and recognizes it as its own.
     return Err({
       kind: written.val.kind === "conflict" ? "lost_race" : "store_unavailable",
     });
--- a/packages/orders/src/orderSender.ts
+++ b/packages/orders/src/orderSender.ts
@@ -1,4 +1,4 @@
-/** Sends orders to an engine under its lease. */
+/** Sends orders to an engine while this box holds the engine's lease. */
 import { Err, waitFor, type Clock, type Ms, type Result } from "@stairgauge/common";
 import type { EngineAddress, EngineClient, EngineOrder } from "@stairgauge/engines";
 import type { LinkFailure } from "@stairgauge/outcomes";
@@ -7,13 +7,13 @@
 
 type WithoutFence<T> = T extends unknown ? Omit<T, "fencingToken" | "deadlineAt"> : never;
 
-/** An order before it has its fencing token and deadline. */
+/** An order without its fencing token and deadline. */
 export type OrderContent = WithoutFence<EngineOrder>;
 
-/** Why an order was not carried out, as far as is known. */
+/** Why an order was not confirmed by the engine. */
 export type OrderFailure = Readonly<
   | { kind: "no_lease"; failure: LeaseFailure }
-  /** The lease ran out between getting it and sending; nothing was sent. */
+  /** The lease ran out after it was acquired and before the order was sent. Nothing was sent. */
   | { kind: "lease_lapsed" }
   | { kind: "not_delivered"; failure: LinkFailure }
 >;
@@ -23,7 +23,7 @@
   send: (order: OrderContent) => Promise<Result<void, OrderFailure>>;
 }>;
 
-/** Creates the sender. `checksOrders` says whether the engine checks fencing tokens. */
+/** Creates a sender. `checksOrders` is true if the engine checks fencing tokens. */
 export const createOrderSender = (options: {
   readonly lease: OrderLease;
   readonly engines: EngineClient;
@@ -38,7 +38,8 @@
     if (acquired.err) return Err({ kind: "no_lease", failure: acquired.val });
     const quiet = (acquired.val.quietUntil - clock.monotonic()) as Ms;
     if (!options.checksOrders && quiet > 0) await waitFor(clock, quiet);
-    // NOTE: looked at last, on the monotonic clock: a process that was paused sends nothing.
+    // NOTE: checked just before sending, on the monotonic clock, so that a process that was suspended
+    // past its lease sends nothing.
     const usable = lease.getUsable();
     if (!usable) return Err({ kind: "lease_lapsed" });
     const { fencingToken } = usable;
--- a/packages/orders/src/orders.test.ts
+++ b/packages/orders/src/orders.test.ts
@@ -1,4 +1,4 @@
-/** Orders under a lease: two boxes, lost answers, and a holder that was paused past its lease. */
+/** Tests orders under a lease: two boxes, lost answers and a holder suspended past its lease. */
 import { describe, expect, it } from "vitest";
 import { createVirtualClock, Ok, type ModelName, type Ms } from "@stairgauge/common";
 import type { EngineClient, EngineOrder } from "@stairgauge/engines";
@@ -30,7 +30,7 @@
     const checksOrders = options.checksOrders ?? true;
     return createOrderSender({ lease, engines, clock, address: "e", checksOrders });
   };
-  /** Runs a promise to its end, moving the clock as it waits. */
+  /** Awaits a promise and advances the virtual clock until it has settled. */
   const run = async <T>(promise: Promise<T>): Promise<T> => {
     let isDone = false;
     void promise.finally(() => (isDone = true));
@@ -43,8 +43,8 @@
   return { clock, model, received, createBox, run };
 };
 
-describe("orders to engines", () => {
-  it("come from one box at a time, each holder with a higher token", async () => {
+describe("createOrderSender", () => {
+  it("sends for one box at a time, with a higher fencing token for each new holder", async () => {
     const { clock, received, createBox, run } = createBench();
     const [a, b] = [createBox("a"), createBox("b")];
     expect((await run(a.send(ORDER))).ok).toBe(true);
@@ -58,18 +58,18 @@
     expect(received.map(({ order }) => order.fencingToken)).toEqual([1, 1, 2]);
   });
 
-  it("are not sent by a holder that was paused past its lease", async () => {
+  it("sends nothing when the holder was suspended past its lease", async () => {
     const { model, received, createBox, run } = createBench();
     const a = createBox("a");
     expect((await run(a.send(ORDER))).ok).toBe(true);
-    // The pause falls between the write of the lease and its answer.
+    // The holder is suspended between the write of the lease and its answer.
     model.setMode({ delayMs: LEASE_MS });
-    const paused = await run(a.send(ORDER));
-    expect(paused.val).toEqual({ kind: "lease_lapsed" });
+    const late = await run(a.send(ORDER));
+    expect(late.val).toEqual({ kind: "lease_lapsed" });
     expect(received).toHaveLength(1);
   });
 
-  it("reach an engine that checks nothing only after the old holder's longest order", async () => {
+  it("waits for the old holder's last deadline before sending to an engine that checks no tokens", async () => {
     const { clock, received, createBox, run } = createBench({ checksOrders: false });
     const [a, b] = [createBox("a"), createBox("b")];
     await run(a.send(ORDER));
@@ -81,7 +81,7 @@
     expect(first!.order.deadlineAt).toBeLessThan(second!.at);
   });
 
-  it("settle a lost answer of the lease's write by re-reading, with the same token", async () => {
+  it("keeps the same token when the answer to the lease's write was lost", async () => {
     const { model, received, createBox, run } = createBench();
     const a = createBox("a");
     model.setMode({ answersToLose: 1 });
@@ -90,7 +90,7 @@
     expect(received[0]!.order.fencingToken).toBe(1);
   });
 
-  it("need a new token after the box has started anew", async () => {
+  it("needs a new token after the box has restarted", async () => {
     const { clock, received, createBox, run } = createBench();
     await run(createBox("a", "1").send(ORDER));
     expect((await run(createBox("a", "2").send(ORDER))).ok).toBe(false);
@@ -99,7 +99,7 @@
     expect(received.map(({ order }) => order.fencingToken)).toEqual([1, 2]);
   });
 
-  it("are not sent while the store is down", async () => {
+  it("sends nothing while the store is down", async () => {
     const { model, received, createBox, run } = createBench();
     model.setMode({ isDown: true });
     expect((await run(createBox("a").send(ORDER))).ok).toBe(false);
