--- a/packages/engines/src/constants.ts
+++ b/packages/engines/src/constants.ts
@@ -1,13 +1,13 @@
-/** Bounds of the engine adapter. */
+/** Limits of the engine client. */
 
-/** Longest frame that an engine may send, bytes. */
+/** Maximum size of a frame from an engine, in bytes. */
 export const MAX_FRAME_BYTES = 64 * 1024;
 
-/** Longest wait for a connection to an engine, milliseconds. */
+/** Maximum wait for a connection to an engine, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 2_000;
 
-/** Longest wait for an answer to a control call, milliseconds. */
+/** Maximum wait for the answer to a control call, in milliseconds. */
 export const CONTROL_TIMEOUT_MS = 3_000;
 
-/** Largest answer to a control call, bytes. */
+/** Maximum size of the answer to a control call, in bytes. */
 export const MAX_CONTROL_BYTES = 1024 * 1024;
--- a/packages/engines/src/frameReader.test.ts
+++ b/packages/engines/src/frameReader.test.ts
@@ -1,4 +1,4 @@
-/** The frame reader under random chunkings, random bytes and oversized frames. */
+/** Tests the frame reader with random chunks, random bytes and oversized frames. */
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { GenerationId } from "@stairgauge/common";
@@ -34,13 +34,13 @@
 );
 
 const splitAt = (bytes: Uint8Array, cuts: readonly number[]): readonly Uint8Array[] => {
-  const places = [0, ...cuts.map((cut) => cut % (bytes.length + 1)), bytes.length];
-  const sorted = places.sort((a, b) => a - b);
+  const offsets = [0, ...cuts.map((cut) => cut % (bytes.length + 1)), bytes.length];
+  const sorted = offsets.sort((a, b) => a - b);
   return sorted.slice(1).map((end, i) => bytes.subarray(sorted[i], end));
 };
 
 describe("createFrameReader", () => {
-  it("reads the same frames whatever the chunking", () => {
+  it("reads the same frames however the bytes are split into chunks", () => {
     const cuts = fc.array(fc.nat(), { maxLength: 30 });
     const run = fc.property(fc.array(FRAME, { maxLength: 12 }), cuts, (frames, at) => {
       const bytes = new TextEncoder().encode(frames.map(encodeFrame).join(""));
@@ -49,7 +49,7 @@
     fc.assert(run, { seed: 1, numRuns: 500 });
   });
 
-  it("never throws on random bytes, and delivers no frame from them", () => {
+  it("reads no frame from random bytes and does not throw", () => {
     const chunks = fc.array(fc.uint8Array({ maxLength: 200 }), { maxLength: 10 });
     const run = fc.property(chunks, (some) => {
       expect(readAll(some).frames).toEqual([]);
@@ -57,14 +57,14 @@
     fc.assert(run, { seed: 2, numRuns: 500 });
   });
 
-  it("types garbage, and delivers nothing after it", () => {
+  it("reports malformed data as garbage and reads no frame after it", () => {
     const text = `data: nonsense\n\n${encodeFrame({ kind: "heartbeat" })}`;
     const { frames, failure } = readAll([new TextEncoder().encode(text)]);
     expect(frames).toEqual([]);
     expect(failure).toMatchObject({ kind: "garbage" });
   });
 
-  it("bounds a frame that never ends", () => {
+  it("fails when a frame without an end exceeds the size limit", () => {
     const endless = new TextEncoder().encode(`data: ${"x".repeat(MAX_FRAME_BYTES)}`);
     expect(readAll([endless]).failure).toMatchObject({ kind: "garbage" });
   });
--- a/packages/engines/src/frameReader.ts
+++ b/packages/engines/src/frameReader.ts
@@ -1,4 +1,4 @@
-/** Cuts the bytes of an engine's answer into frames, with bounded memory. */
+/** Parses the bytes of an engine's answer into frames, with bounded memory. */
 import { StringDecoder } from "node:string_decoder";
 import { createParser } from "eventsource-parser";
 import type { LinkFailure } from "@stairgauge/outcomes";
@@ -6,15 +6,16 @@
 import { MAX_FRAME_BYTES } from "./constants.js";
 import { decodeFrame } from "./wire.js";
 
-const MAX_SHOWN_GARBAGE = 80;
+/** Maximum characters of a parser error that a failure quotes. */
+const MAX_DETAIL_CHARACTERS = 80;
 
-/** Reads chunks of any size; the first failure is final. */
+/** Reads chunks of any size. After the first failure no more frames are read. */
 export type FrameReader = Readonly<{
-  /** Takes the next bytes; returns the failure, if they are not the protocol. */
+  /** Reads the next bytes; returns the failure if this or an earlier chunk was malformed. */
   read: (chunk: Buffer) => LinkFailure | undefined;
 }>;
 
-/** Creates a reader that hands each frame to `onFrame`. */
+/** Creates a reader that calls `onFrame` with each frame. */
 export const createFrameReader = (onFrame: (frame: EngineFrame) => void): FrameReader => {
   const decoder = new StringDecoder("utf8");
   let failure: LinkFailure | undefined;
@@ -31,11 +32,14 @@
       }
       failure = {
         kind: "garbage",
-        detail: `${event.data.length} characters that are no frame`,
+        detail: `${event.data.length} characters that are not a frame`,
       };
     },
     onError: (error) => {
-      failure ??= { kind: "garbage", detail: error.message.slice(0, MAX_SHOWN_GARBAGE) };
+      failure ??= {
+        kind: "garbage",
+        detail: error.message.slice(0, MAX_DETAIL_CHARACTERS),
+      };
     },
   });
 
--- a/packages/engines/src/httpEngineClient.ts
+++ b/packages/engines/src/httpEngineClient.ts
@@ -1,4 +1,4 @@
-/** The engine client for engines that speak the wire format of `wire.ts` over HTTP. */
+/** Client for engines that use the wire format of `wire.ts` over HTTP. */
 import { Agent } from "undici";
 import type { z } from "zod";
 import { Err, Ok, type GenerationId, type Result } from "@stairgauge/common";
@@ -31,7 +31,7 @@
 const decodeJson = (text: string): unknown =>
   text === "" ? undefined : JSON.parse(text);
 
-/** Creates the client; it keeps connections to each engine and opens as many as there are streams. */
+/** Creates a client. It reuses connections to each engine and opens one per concurrent stream. */
 export const createHttpEngineClient = (): EngineClient => {
   const links = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -80,7 +80,7 @@
     if (answer.err) return answer;
     const parsed = schema.safeParse(answer.val);
     if (parsed.success) return Ok(parsed.data);
-    return Err({ kind: "garbage", detail: "an answer of another shape" });
+    return Err({ kind: "garbage", detail: "an answer that does not match its schema" });
   };
 
   const sendCommand = async (call: ControlCall): Promise<Result<void, LinkFailure>> => {
--- a/packages/engines/src/index.ts
+++ b/packages/engines/src/index.ts
@@ -1,4 +1,4 @@
-/** Clients of model engines, behind one interface. */
+/** Clients of model engines, with one interface for all kinds. */
 export type {
   CacheEvent,
   EngineAddress,
--- a/packages/engines/src/openLink.ts
+++ b/packages/engines/src/openLink.ts
@@ -1,4 +1,4 @@
-/** Opens one streamed exchange with an engine over undici. */
+/** Opens one HTTP call to an engine whose answer is streamed, with undici. */
 import type { Dispatcher } from "undici";
 import { toLinkFailure } from "@stairgauge/http";
 import type { LinkFailure } from "@stairgauge/outcomes";
@@ -7,6 +7,7 @@
 import type { EngineLink, LinkHandlers } from "./types.js";
 
 const OK_STATUS = 200;
+/** Length of a refusal's body after which no more chunks are kept. */
 const MAX_REFUSAL_CHARACTERS = 4_096;
 
 /** An HTTP call whose answer is a stream of frames. */
@@ -18,8 +19,8 @@
 }>;
 
 /**
- * Opens the exchange. Uses undici's dispatch rather than its readable streams: at thousands of
- * tokens a second the stream objects cost more than the parsing.
+ * Opens the call. It uses undici's `dispatch` instead of readable streams, because at thousands of
+ * tokens per second the stream objects cost more than the parsing.
  */
 export const openLink = (
   dispatcher: Dispatcher,
@@ -59,7 +60,8 @@
       method: call.method,
       body: call.body,
       headers: call.body === null ? {} : { "content-type": "application/json" },
-      // NOTE: the stream session watches for silence itself, heartbeats included.
+      // NOTE: no timeout, since the stream session itself detects a silent engine by missing frames and
+      // heartbeats.
       bodyTimeout: 0,
     },
     {
--- a/packages/engines/src/refusals.ts
+++ b/packages/engines/src/refusals.ts
@@ -1,4 +1,4 @@
-/** Turns an engine's refusals into typed failures. */
+/** Converts an engine's refusals to typed failures. */
 import type { LinkFailure } from "@stairgauge/outcomes";
 import { GENERATION_GONE_KIND, LEAVING_KIND, refusalSchema } from "./wire.js";
 
@@ -10,7 +10,10 @@
   }
 };
 
-/** Types an answer whose status is not a success. */
+/**
+ * Converts an answer with an error status to a failure. If its body is malformed, the request may have
+ * run.
+ */
 export const toRefusal = (status: number, body: string): LinkFailure => {
   const parsed = refusalSchema.safeParse(parseJson(body));
   if (!parsed.success) {
--- a/packages/engines/src/wire.ts
+++ b/packages/engines/src/wire.ts
@@ -1,4 +1,4 @@
-/** The engine's wire format: JSON control calls, and frames as server-sent events. */
+/** Wire format of engines: JSON for control calls, server-sent events for frames. */
 import { z } from "zod";
 import type { GenerationId, ModelName, Ms } from "@stairgauge/common";
 import type { EngineFrame } from "@stairgauge/streams";
@@ -61,16 +61,16 @@
   }),
 ]);
 
-/** Body of a refusal. `outcome` is `not_run` where the engine knows that nothing ran. */
+/** Body of a refusal. `outcome` is `not_run` if it is certain that nothing ran. */
 export const refusalSchema = z.object({
   error: z.object({ kind: z.string(), message: z.string() }),
   outcome: z.enum(["not_run", "unknown"]).default("unknown"),
 });
 
-/** Kind of the refusal of an engine that is about to leave. */
+/** Kind of the refusal that an engine sends when it is about to shut down. */
 export const LEAVING_KIND = "leaving";
 
-/** Kind of the refusal of a resume whose generation the engine does not know. */
+/** Kind of the refusal of a resume when the engine does not have the generation. */
 export const GENERATION_GONE_KIND = "generation_gone";
 
 /** Encodes a frame as one server-sent event. */
@@ -91,8 +91,8 @@
 type WireFrame = Readonly<Record<"g" | "i" | "t" | "end" | "n" | "p" | "h", unknown>>;
 
 /**
- * Decodes the data of one event; undefined where it is not a frame. Hand-written checks instead of
- * zod, since this runs once per token.
+ * Decodes the data of one event; undefined if it is not a frame. It checks by hand instead of with
+ * zod, because it runs once per token.
  */
 export const decodeFrame = (data: string): EngineFrame | undefined => {
   let value: unknown;
