--- a/packages/services/src/httpServiceClient.test.ts
+++ b/packages/services/src/httpServiceClient.test.ts
@@ -1,8 +1,8 @@
 /**
- * An answer with neither a length nor chunks ends with its connection, and the kernel ends that in
- * order for a process that was killed: half an answer counted as whole, was passed on as complete, and was kept for
- * the repeats of a call that may run once.
- * An answer whose coding is not "chunked" ends with its connection all the same, and half of one still counts as whole.
+ * Guards against a truncated answer that is treated as complete. An answer with neither a length nor
+ * chunked coding ends when its connection closes. The kernel also closes the connections of a killed
+ * process normally, so half an answer looked complete, was forwarded, and was stored for the repeats
+ * of a call that may run only once. The same holds for any transfer coding other than chunked.
  */
 import { createServer, type AddressInfo } from "node:net";
 import { afterEach, describe, expect, it } from "vitest";
@@ -14,8 +14,8 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-/** Calls a server that ends half way through its answer, and its address before. */
-const callCutOff = async (framing: string, half: string) => {
+/** Calls a server that closes the connection in the middle of its answer; resolves to how the call ended. */
+const callTruncatingServer = async (framing: string, half: string) => {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
     socket.once("data", () => {
@@ -40,17 +40,17 @@
   });
 };
 
-describe("an answer that is cut", () => {
+describe("an answer that is truncated", () => {
   it.each([
     ["a length", "Content-Length: 9\r\n", "half"],
     ["chunks", "Transfer-Encoding: chunked\r\n", "4\r\nhalf\r\n"],
-    ["neither, its server's process gone", "", "half"],
+    ["neither a length nor chunks, after its server's process was killed", "", "half"],
     [
-      "a coding other than chunks, its server's process gone",
+      "a coding other than chunked, after its server's process was killed",
       "Transfer-Encoding: gzip\r\n",
       "half",
     ],
-  ])("has failed, with %s", async (_framing, framing, half) => {
-    expect(await callCutOff(framing, half)).toBe("failed");
+  ])("is reported as failed, with %s", async (_framing, framing, half) => {
+    expect(await callTruncatingServer(framing, half)).toBe("failed");
   });
 });
--- a/packages/services/src/httpServiceClient.ts
+++ b/packages/services/src/httpServiceClient.ts
@@ -1,4 +1,4 @@
-/** The client of plain services over HTTP, bodies streamed both ways. */
+/** HTTP client of plain services. It streams request and response bodies. */
 import { Agent, type Dispatcher } from "undici";
 import { toLinkFailure } from "@stairgauge/http";
 import type { LinkFailure } from "@stairgauge/outcomes";
@@ -13,7 +13,10 @@
 const HEADERS_TIMEOUT_MS = 30_000;
 const BODY_IDLE_TIMEOUT_MS = 30_000;
 
-/** A killed process ends its connections in order: an answer with neither a length nor chunks cannot be told from half of one. */
+/**
+ * An answer with neither a length nor chunked coding ends when its connection closes. The connections
+ * of a killed process also close normally, so such an answer may be truncated and counts as failed.
+ */
 const UNFRAMED: LinkFailure = {
   kind: "closed_early",
   detail: "an answer without a length or chunks",
@@ -24,7 +27,7 @@
 const hasBody = (method: string, status: number): boolean =>
   method !== "HEAD" && !BODILESS_STATUSES.has(status);
 
-/** Chunks say where a body ends only as its last coding. */
+/** Whether the headers define where the body ends. Chunked coding does so only as the last coding. */
 const isFramed = (
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
 ): boolean => {
@@ -33,7 +36,6 @@
   return codings.split(",").at(-1)?.trim().toLowerCase() === "chunked";
 };
 
-/** Creates the client. */
 export const createHttpServiceClient = (): ServiceClient => {
   const agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
--- a/packages/services/src/types.ts
+++ b/packages/services/src/types.ts
@@ -1,23 +1,23 @@
-/** Plain services as the rest of the system sees them. */
+/** Interface to plain services. */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Readable } from "node:stream";
 import type { LinkFailure } from "@stairgauge/outcomes";
 
 /** A call to one server of a plain service. */
 export type ServiceCall = Readonly<{
-  /** IP:PORT. */
+  /** Address of the server, as IP:PORT. */
   address: string;
   method: string;
-  /** Path and query on the server. */
+  /** Path and query string. */
   path: string;
   headers: Readonly<Record<string, string | readonly string[]>>;
   body: Readable | Buffer | null;
 }>;
 
-/** Receives an answer as it comes. Exactly one of `onEnd` and `onFailure` comes last. */
+/** Callbacks for a streamed answer. Either `onEnd` or `onFailure` is called last, once, unless the call is closed. */
 export type ServiceSink = Readonly<{
   onHead: (status: number, headers: IncomingHttpHeaders) => void;
-  /** Takes bytes; false asks to stop until `resume`. */
+  /** Handles a part of the body. Returns false to pause reading until `resume` is called. */
   onData: (chunk: Buffer) => boolean;
   onEnd: () => void;
   onFailure: (failure: LinkFailure) => void;
@@ -25,7 +25,9 @@
 
 /** An open call. */
 export type ServiceExchange = Readonly<{
+  /** Continues reading after `onData` returned false. */
   resume: () => void;
+  /** Aborts the call. No callback is called afterwards. */
   close: () => void;
 }>;
 
