--- a/packages/bundle/src/adoptHead.ts
+++ b/packages/bundle/src/adoptHead.ts
@@ -1,20 +1,20 @@
-/** Decides whether a box may take a head into force. */
+/** Decides whether a box may adopt a head and its bundle. */
 import { Err, type Result } from "@stairgauge/common";
 import { countApprovals } from "./approval.js";
 import { computeDigest } from "./digest.js";
 import { parseBundle } from "./parseBundle.js";
 import type { Bundle, BundleHead, HeadFailure, TrustedOperator } from "./types.js";
 
-/** Whose approval counts, and how many are needed. */
+/** The operators whose approvals count, and the number of approvals needed. */
 export type SignOffRules = Readonly<{
   trusted: readonly TrustedOperator[];
   approvalsNeeded: number;
 }>;
 
-/** A bundle in force and the head that named it. */
+/** An adopted bundle and the head that refers to it. */
 export type ActiveBundle = Readonly<{ head: BundleHead; bundle: Bundle }>;
 
-/** Checks version, digest, signatures and content, in that order; adopts only a higher version. */
+/** Checks version, digest, approvals and content, in this order. Only a higher version is adopted. */
 export const adoptHead = (options: {
   readonly currentVersion: number;
   readonly head: BundleHead;
--- a/packages/bundle/src/approval.ts
+++ b/packages/bundle/src/approval.ts
@@ -1,4 +1,4 @@
-/** Operators' Ed25519 signatures over a bundle's digest. */
+/** Operators' Ed25519 signatures of a bundle's digest. */
 import { createPublicKey, sign, verify } from "node:crypto";
 import { APPROVAL_CONTEXT } from "./constants.js";
 import type { Approval, BundleHead, TrustedOperator } from "./types.js";
@@ -29,7 +29,7 @@
     return verify(null, bytes, createPublicKey(one.publicKey), signature);
   });
 
-/** Counts the trusted operators, other than the proposer, whose signatures hold. */
+/** Counts the trusted operators, except the proposer, with a valid signature. */
 export const countApprovals = (
   head: BundleHead,
   trusted: readonly TrustedOperator[],
--- a/packages/bundle/src/bundle.test.ts
+++ b/packages/bundle/src/bundle.test.ts
@@ -1,4 +1,4 @@
-/** Bundles: validation by path, canonical digests, and what a box may adopt. */
+/** Tests the validation of bundles, the adoption of heads and the index of keys. */
 import { generateKeyPairSync } from "node:crypto";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
@@ -34,42 +34,50 @@
 };
 
 describe("parseBundle", () => {
-  it("takes a whole bundle and fills in what may be left out", () => {
+  it("parses a valid bundle and fills in defaults", () => {
     const bundle = parseBundle(TEXT).val as Bundle;
     expect(bundle.workspaces[0]?.limits.concurrentStreams).toBe(64);
     expect(bundle.objectives.tailGapWeight).toBe(1);
   });
 
   it.each([
-    ["a dangling tier", TEXT.replace("tier: gold", "tier: tin"), "workspaces.0.tier.0"],
     [
-      "a dangling model",
+      "a reference to a missing tier",
+      TEXT.replace("tier: gold", "tier: tin"),
+      "workspaces.0.tier.0",
+    ],
+    [
+      "a reference to a missing model",
       TEXT.replace("models: [m]", "models: [x]"),
       "workspaces.0.models.0",
     ],
     [
-      "a dangling adapter",
+      "a reference to a missing adapter",
       TEXT.replace("adapters: [a], ser", "adapters: [x], ser"),
       "workspaces.0.adapters.0",
     ],
-    ["a model without engine", TEXT.replace("serves: [m]", "serves: [s]"), "models.0"],
     [
-      "a context that no engine holds",
+      "a model that no engine serves",
+      TEXT.replace("serves: [m]", "serves: [s]"),
+      "models.0",
+    ],
+    [
+      "a context larger than every engine's memory",
       TEXT.replace("memoryTokens: 2000", "memoryTokens: 10"),
       "models.0.contextTokens",
     ],
     [
-      "two servers of one name",
+      "two servers with the same name",
       TEXT.replace("name: p", "name: e"),
       "backendServers.1.name",
     ],
     [
-      "two servers of one address",
+      "two servers with the same address",
       TEXT.replace("127.0.0.1:2", "127.0.0.1:1"),
       "backendServers.1.address",
     ],
     [
-      "an address by name",
+      "an address with a host name",
       TEXT.replace("127.0.0.1:1", "engine:1"),
       "backendServers.0.address",
     ],
@@ -79,12 +87,12 @@
       TEXT.replace("contextTokens: 1000", "contextTokens: many"),
       "models.0.contextTokens",
     ],
-    ["no YAML", "a: [", "(text)"],
-  ])("names %s by its path", (_what, text, path) => {
+    ["invalid YAML", "a: [", "(text)"],
+  ])("reports %s with its path", (_what, text, path) => {
     expect(findFaultPaths(text)).toContain(path);
   });
 
-  it("never throws on random text", () => {
+  it("rejects random text without throwing", () => {
     const run = fc.property(fc.string(), (text) => {
       expect(parseBundle(text).ok).toBe(false);
     });
@@ -118,7 +126,7 @@
       rules,
     });
 
-  it("adopts a higher version whose sign-off holds", () => {
+  it("adopts an approved head only if its version is higher", () => {
     expect(adopt({}).ok).toBe(true);
     expect(adopt({}, { current: 3 }).val).toMatchObject({ kind: "version_not_higher" });
   });
@@ -128,19 +136,19 @@
     ["its own proposer", [signDigest({ digest, ...bob })]],
     ["an operator who is not trusted", [signDigest({ digest, ...eve })]],
     [
-      "someone in another's name",
+      "an operator who signs with another operator's name",
       [{ ...signDigest({ digest, ...eve }), operator: "ann" }],
     ],
     ["a signature for another digest", [signDigest({ digest: "0".repeat(64), ...ann })]],
-    ["a signature that is garbage", [{ operator: "ann", signature: "!!" }]],
-  ])("refuses a head approved by %s", (_who, approvals) => {
+    ["a malformed signature", [{ operator: "ann", signature: "!!" }]],
+  ])("rejects a head approved by %s", (_who, approvals) => {
     expect(adopt({ approvals }).val).toMatchObject({
       kind: "too_few_approvals",
       valid: 0,
     });
   });
 
-  it("counts an operator once", () => {
+  it("counts two approvals of one operator once", () => {
     const approvals = [signDigest({ digest, ...ann }), signDigest({ digest, ...ann })];
     const twoNeeded = { ...rules, approvalsNeeded: 2 };
     const result = adoptHead({
@@ -152,7 +160,7 @@
     expect(result.val).toMatchObject({ kind: "too_few_approvals", valid: 1 });
   });
 
-  it("refuses changed content", () => {
+  it("rejects content that does not match the digest", () => {
     const changed = content.replace("gold", "lead");
     expect(adopt({}, { content: changed }).val).toMatchObject({
       kind: "content_mismatch",
@@ -161,7 +169,7 @@
 });
 
 describe("buildKeyIndex", () => {
-  it("finds the owner of a key, and nobody for another", () => {
+  it("finds the owner of each key and returns undefined for an unknown key", () => {
     const keys = Array.from({ length: 500 }, (_, i) => `key-${i}`);
     const index = buildKeyIndex(
       keys.map((key) => ({ keyHashes: [hashKey(key)], owner: key })),
--- a/packages/bundle/src/index.ts
+++ b/packages/bundle/src/index.ts
@@ -1,4 +1,4 @@
-/** The bundle: schema, validation, digest, sign-off and look-ups. */
+/** The bundle: schema, validation, digest, approvals and indexes. */
 export type * from "./types.js";
 export { checkBundle, parseBundle } from "./parseBundle.js";
 export { computeDigest, renderCanonical } from "./digest.js";
--- a/packages/bundle/src/indexBundle.ts
+++ b/packages/bundle/src/indexBundle.ts
@@ -1,4 +1,4 @@
-/** Look-ups over a bundle in force, built once when it is adopted. */
+/** Indexes of an adopted bundle, built once on adoption. */
 import type { ActiveBundle } from "./adoptHead.js";
 import { buildKeyIndex, type KeyIndex } from "./keys.js";
 import type {
@@ -11,18 +11,20 @@
   Workspace,
 } from "./types.js";
 
-/** A bundle in force with its look-ups. */
+/** An adopted bundle with its indexes. Maps are by name unless stated otherwise. */
 export type BundleIndex = Readonly<{
   active: ActiveBundle;
   keys: KeyIndex<Workspace>;
   workspaces: ReadonlyMap<string, Workspace>;
   tiers: ReadonlyMap<string, Tier>;
   models: ReadonlyMap<string, Model>;
-  /** Model that each adapter belongs to. */
+  /** The model that each adapter belongs to, by the adapter's name. */
   adapterModels: ReadonlyMap<string, Model>;
   services: ReadonlyMap<string, Service>;
   servers: ReadonlyMap<string, BackendServer>;
+  /** Engines that serve each model, by the model's name. */
   enginesByModel: ReadonlyMap<string, readonly EngineServer[]>;
+  /** Servers of each plain service, by the service's name. */
   serversByService: ReadonlyMap<string, readonly ServiceServer[]>;
 }>;
 
@@ -44,7 +46,7 @@
   items: readonly T[],
 ): ReadonlyMap<string, T> => new Map(items.map((item) => [item.name, item]));
 
-/** Builds the look-ups of a bundle in force. */
+/** Builds the indexes of an adopted bundle. */
 export const indexBundle = (active: ActiveBundle): BundleIndex => {
   const { bundle } = active;
   const owners = bundle.workspaces.map((workspace) => ({
--- a/packages/bundle/src/keys.ts
+++ b/packages/bundle/src/keys.ts
@@ -1,22 +1,23 @@
-/** Workspace keys: callers hold them, the bundle holds only their hashes. */
+/** Workspace keys. Callers send the keys; the bundle contains only their hashes. */
 import { createHash, timingSafeEqual } from "node:crypto";
 import { KEY_HASH_PREFIX } from "./constants.js";
 
+/** Length of the hash prefix that selects a bucket of the index. */
 const INDEX_HEX_DIGITS = 8;
 
-/** Hashes a caller's key as a bundle writes it. Keys are random, so one round suffices. */
+/** Hashes a caller's key in the bundle's format. Keys are random, so one round of hashing is enough. */
 export const hashKey = (key: string): string =>
   KEY_HASH_PREFIX + createHash("sha256").update(key).digest("hex");
 
-/** The hash is the bundle's own string: a copy for each key would cost more than the index. */
+/** An indexed key hash. It shares the bundle's string, since copies would need more memory than the index. */
 type Entry<T> = Readonly<{ hash: string; owner: T }>;
 
-/** Finds the owner of a presented key. */
+/** Index of key hashes. `findOwner` returns the owner of a caller's key, or undefined if it has none. */
 export type KeyIndex<T> = Readonly<{ findOwner: (key: string) => T | undefined }>;
 
 /**
- * Builds an index over key hashes. Only a short prefix of the hash selects candidates; the rest
- * is compared in constant time, so an answer's time says nothing about a stored hash.
+ * Builds an index of key hashes. Only a short prefix of the hash selects candidates. Their whole hashes
+ * are compared in constant time, so that response times reveal nothing about the rest of a stored hash.
  */
 export const buildKeyIndex = <T>(
   owners: Iterable<Readonly<{ keyHashes: readonly string[]; owner: T }>>,
--- a/packages/bundle/src/parseBundle.ts
+++ b/packages/bundle/src/parseBundle.ts
@@ -1,4 +1,4 @@
-/** Reads a bundle from YAML or JSON text and checks that its names meet. */
+/** Parses a bundle from YAML or JSON text and checks that its names are unique and its references exist. */
 import { parse as parseYaml } from "yaml";
 import type { z } from "zod";
 import { Err, Ok, type Result } from "@stairgauge/common";
@@ -14,21 +14,21 @@
     expected: issue.message,
   }));
 
-const findRepeats = (
+const findDuplicates = (
   names: readonly string[],
   pathOf: (index: number) => string,
 ): readonly BundleFault[] => {
   const seen = new Set<string>();
   return names.flatMap((name, index) => {
-    const isRepeat = seen.has(name);
+    const isDuplicate = seen.has(name);
     seen.add(name);
-    return isRepeat
-      ? [{ path: pathOf(index), expected: `one meaning for "${name}"` }]
+    return isDuplicate
+      ? [{ path: pathOf(index), expected: `a unique value, "${name}" is already used` }]
       : [];
   });
 };
 
-const findDangling = (options: {
+const findMissingReferences = (options: {
   readonly names: readonly string[];
   readonly known: ReadonlySet<string>;
   readonly path: string;
@@ -46,31 +46,31 @@
   );
 
 const findNameFaults = (bundle: Bundle): readonly BundleFault[] => [
-  ...findRepeats(
+  ...findDuplicates(
     bundle.tiers.map((tier) => tier.name),
     (i) => `tiers.${i}.name`,
   ),
-  ...findRepeats(
+  ...findDuplicates(
     bundle.models.map((model) => model.name),
     (i) => `models.${i}.name`,
   ),
-  ...findRepeats(
+  ...findDuplicates(
     bundle.services.map((service) => service.name),
     (i) => `services.${i}.name`,
   ),
-  ...findRepeats(
+  ...findDuplicates(
     bundle.workspaces.map((one) => one.name),
     (i) => `workspaces.${i}.name`,
   ),
-  ...findRepeats(
+  ...findDuplicates(
     bundle.backendServers.map((one) => one.name),
     (i) => `backendServers.${i}.name`,
   ),
-  ...findRepeats(
+  ...findDuplicates(
     bundle.backendServers.map((one) => one.address),
     (i) => `backendServers.${i}.address`,
   ),
-  ...findRepeats(
+  ...findDuplicates(
     bundle.workspaces.flatMap((one) => one.keyHashes),
     () => "workspaces.*.keyHashes",
   ),
@@ -84,25 +84,25 @@
   const workspaceFaults = bundle.workspaces.flatMap((workspace, i) => {
     const path = `workspaces.${i}`;
     return [
-      ...findDangling({
+      ...findMissingReferences({
         names: [workspace.tier],
         known: tiers,
         path: `${path}.tier`,
         what: "tier",
       }),
-      ...findDangling({
+      ...findMissingReferences({
         names: workspace.models,
         known: models,
         path: `${path}.models`,
         what: "model",
       }),
-      ...findDangling({
+      ...findMissingReferences({
         names: workspace.adapters,
         known: adapters,
         path: `${path}.adapters`,
         what: "adapter",
       }),
-      ...findDangling({
+      ...findMissingReferences({
         names: workspace.services,
         known: services,
         path: `${path}.services`,
@@ -111,7 +111,7 @@
     ];
   });
   const serverFaults = bundle.backendServers.flatMap((server, i) =>
-    findDangling({
+    findMissingReferences({
       names: server.serves,
       known: server.kind === "engine" ? models : services,
       path: `backendServers.${i}.serves`,
@@ -121,10 +121,10 @@
   return [...workspaceFaults, ...serverFaults];
 };
 
-const findReachFaults = (bundle: Bundle): readonly BundleFault[] => {
+const findServingFaults = (bundle: Bundle): readonly BundleFault[] => {
   const engines = bundle.backendServers.filter((server) => server.kind === "engine");
   const served = new Set(bundle.backendServers.flatMap((server) => server.serves));
-  const unreachable = [
+  const unserved = [
     ...bundle.models.map((model, i) => ({ name: model.name, path: `models.${i}` })),
     ...bundle.services.map((service, i) => ({
       name: service.name,
@@ -133,18 +133,18 @@
   ].filter((one) => !served.has(one.name));
   const tooSmall = bundle.models.flatMap((model, i) => {
     const servers = engines.filter((engine) => engine.serves.includes(model.name));
-    const canHold = servers.some((engine) => engine.memoryTokens >= model.contextTokens);
-    return servers.length === 0 || canHold
+    const canFit = servers.some((engine) => engine.memoryTokens >= model.contextTokens);
+    return servers.length === 0 || canFit
       ? []
       : [
           {
             path: `models.${i}.contextTokens`,
-            expected: "an engine whose memoryTokens hold it",
+            expected: "an engine with at least as many memoryTokens",
           },
         ];
   });
   return [
-    ...unreachable.map((one) => ({
+    ...unserved.map((one) => ({
       path: one.path,
       expected: "a backend server that serves it",
     })),
@@ -152,7 +152,7 @@
   ];
 };
 
-/** Checks a value already decoded. Every fault is named by its path. */
+/** Validates a decoded value. Each fault is reported with its path. */
 export const checkBundle = (value: unknown): Result<Bundle, BundleFailure> => {
   const parsed = bundleSchema.safeParse(value);
   if (!parsed.success)
@@ -161,16 +161,16 @@
   const faults = [
     ...findNameFaults(bundle),
     ...findReferenceFaults(bundle),
-    ...findReachFaults(bundle),
+    ...findServingFaults(bundle),
   ];
   return faults.length > 0 ? Err({ kind: "invalid_bundle", faults }) : Ok(bundle);
 };
 
-/** JSON is YAML as well, but its own parser is some twenty times as fast. */
+/** JSON is also valid YAML, but the JSON parser is about twenty times as fast. */
 const decodeText = (text: string): unknown =>
   text.startsWith("{") ? JSON.parse(text) : parseYaml(text, { logLevel: "error" });
 
-/** Reads a bundle from YAML for people or canonical JSON. */
+/** Parses a bundle from hand-written YAML or from canonical JSON. */
 export const parseBundle = (text: string): Result<Bundle, BundleFailure> => {
   try {
     return checkBundle(decodeText(text));
--- a/packages/bundle/src/schema.ts
+++ b/packages/bundle/src/schema.ts
@@ -1,4 +1,4 @@
-/** The bundle's schema: what operators may write, checked with zod. */
+/** Schema of the bundles that operators write. */
 import { z } from "zod";
 import { MAX_NAME_LENGTH } from "./constants.js";
 
@@ -15,11 +15,11 @@
 
 const tier = z.strictObject({
   name,
-  /** 0 is served first. */
+  /** Priority; 0 is served first. */
   rank: z.int().min(0).max(100),
-  /** Share of an engine's memory among tiers under contention. */
+  /** Relative share of an engine's memory when tiers compete for it. */
   weight: z.number().positive().default(1),
-  /** Longest wait before the first token; a request that cannot make it is refused. */
+  /** Maximum wait before the first token. A request that cannot meet it is refused. */
   firstTokenDeadlineMs: positiveInt.default(10_000),
 });
 
@@ -38,9 +38,9 @@
 
 const route = z.strictObject({
   method: z.enum(["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"]),
-  /** Path under the service; a trailing `*` matches any rest. */
+  /** Path within the service. A trailing `*` matches any suffix. */
   path: z.string().startsWith("/").max(200),
-  /** Whether a call may be sent again after it may have run. */
+  /** `always` if a call may be sent again after it may have run, else `once`. */
   repeatable: z.enum(["always", "once"]),
 });
 
@@ -68,10 +68,11 @@
   address,
   dataHall: name,
   serves: z.array(name).min(1),
-  /** Tokens that the engine's cache memory holds. */
+  /** Capacity of the engine's cache memory, in tokens. */
   memoryTokens: positiveInt,
-  /** Most streams that the engine batches together. */
+  /** Maximum number of streams that the engine runs in one batch. */
   maxRunning: positiveInt.default(64),
+  /** Whether the engine checks the fencing tokens of orders. */
   checksOrders: z.boolean().default(false),
 });
 
--- a/packages/bundle/src/types.ts
+++ b/packages/bundle/src/types.ts
@@ -1,4 +1,4 @@
-/** Types of the bundle and of what stands around it. */
+/** Types of the bundle, its head and its approvals. */
 import type { z } from "zod";
 import type { bundleSchema } from "./schema.js";
 
@@ -8,16 +8,16 @@
     ? { readonly [Key in keyof T]: DeepReadonly<T[Key]> }
     : T;
 
-/** A bundle's content, validated. */
+/** The validated content of a bundle. */
 export type Bundle = DeepReadonly<z.infer<typeof bundleSchema>>;
 
 /** A paid priority tier. */
 export type Tier = Bundle["tiers"][number];
 
-/** A model on offer. */
+/** A model that workspaces may use. */
 export type Model = Bundle["models"][number];
 
-/** A workspace and what it may reach. */
+/** A workspace and the models, adapters and services that it may use. */
 export type Workspace = Bundle["workspaces"][number];
 
 /** A plain service and its routes. */
@@ -26,7 +26,7 @@
 /** One route of a plain service. */
 export type ServiceRoute = Service["routes"][number];
 
-/** A backend server of either kind. */
+/** A backend server: an engine or a server of a plain service. */
 export type BackendServer = Bundle["backendServers"][number];
 
 /** A backend server that runs a model engine. */
@@ -35,19 +35,19 @@
 /** A backend server of a plain service. */
 export type ServiceServer = Extract<BackendServer, { kind: "service" }>;
 
-/** One fault in a bundle, at the path where it stands. */
+/** One fault in a bundle: the path of the value and what was expected there. */
 export type BundleFault = Readonly<{ path: string; expected: string }>;
 
-/** Why a text is not a bundle. */
+/** Why a text is not a valid bundle. */
 export type BundleFailure = Readonly<{
   kind: "invalid_bundle";
   faults: readonly BundleFault[];
 }>;
 
-/** An operator's signature under a bundle's digest. */
+/** An operator's signature of a bundle's digest. */
 export type Approval = Readonly<{ operator: string; signature: string }>;
 
-/** The record that says which bundle is in force; one compare-and-set moves it. */
+/** The record that defines the active bundle. It is replaced by one compare-and-set write. */
 export type BundleHead = Readonly<{
   version: number;
   digest: string;
@@ -55,7 +55,7 @@
   approvals: readonly Approval[];
 }>;
 
-/** An operator whose signatures a box trusts. `publicKey` is PEM (SPKI, Ed25519). */
+/** An operator whose approvals count. `publicKey` is PEM (SPKI, Ed25519). */
 export type TrustedOperator = Readonly<{ operator: string; publicKey: string }>;
 
 /** Why a head was not adopted. */
