--- a/packages/claims/src/onceGuard.ts
+++ b/packages/claims/src/onceGuard.ts
@@ -85,7 +85,7 @@
     const expiresAt = clock.now() + CALL_LIFE_MS;
     const guard = createOnceCall({ attempt, contentHash, expiresAt });
 
-    const send = (event: OnceEvent): Promise<void> =>
+    const dispatch = (event: OnceEvent): Promise<void> =>
       applyAll(guard.handle(event, clock.now()));
     const applyAll = async (actions: readonly OnceAction[]): Promise<void> => {
       for (const action of actions) await apply(action);
@@ -100,7 +100,7 @@
             ? { kind: "absent" }
             : { kind: "revision", revision: expectedRevision },
       });
-      await send(
+      await dispatch(
         result.err
           ? toEvent(result.val)
           : { kind: "claimWritten", revision: result.val.revision },
@@ -110,8 +110,9 @@
       const row = await table.read(at);
       if (row.err) {
         await wait();
-        await send({ kind: "readFailed" });
-      } else await send({ kind: "claimRead", found: row.val && decodeClaim(row.val) });
+        await dispatch({ kind: "readFailed" });
+      } else
+        await dispatch({ kind: "claimRead", found: row.val && decodeClaim(row.val) });
     };
     const writeEnd = async (value: Claim, revision: number) => {
       for (let attempts = 0; attempts < MAX_END_WRITES; attempts += 1) {
@@ -130,8 +131,8 @@
     };
 
     const claimed: ClaimedCall = {
-      recordAnswer: (answer) => send({ kind: "answered", answer }),
-      recordFailure: (outcome) => send({ kind: "callFailed", outcome }),
+      recordAnswer: (answer) => dispatch({ kind: "answered", answer }),
+      recordFailure: (outcome) => dispatch({ kind: "callFailed", outcome }),
     };
 
     const apply = (action: OnceAction): Promise<void> | void => {
@@ -155,7 +156,7 @@
       }
     };
 
-    void send({ kind: "started" });
+    void dispatch({ kind: "started" });
   };
 
   return { claim };
