--- a/packages/rollout/src/headWatcher.ts
+++ b/packages/rollout/src/headWatcher.ts
@@ -39,7 +39,7 @@
 export type HeadWatcher = Poller &
   Readonly<{
     /** Reads the head once; resolves to true if a new bundle was adopted. */
-    look: () => Promise<boolean>;
+    checkHead: () => Promise<boolean>;
   }>;
 
 /** Creates a watcher that has adopted no bundle yet. */
@@ -57,7 +57,7 @@
     return adoptHead({ currentVersion: version, head, content: content.val, rules });
   };
 
-  const look = async (): Promise<boolean> => {
+  const checkHead = async (): Promise<boolean> => {
     const row = await platform.table.read(HEAD_ROW);
     if (row.err) {
       options.onFailure(row.val);
@@ -80,6 +80,6 @@
     return true;
   };
 
-  const poller = createPoller({ clock, interval: options.interval, look });
-  return { look, ...poller };
+  const poller = createPoller({ clock, interval: options.interval, look: checkHead });
+  return { checkHead, ...poller };
 };
--- a/packages/rollout/src/operatorFlows.test.ts
+++ b/packages/rollout/src/operatorFlows.test.ts
@@ -79,7 +79,7 @@
       onAdopted: ({ head }) => versions.push(head.version),
       onFailure: () => undefined,
     });
-    await watcher.look();
+    await watcher.checkHead();
     expect(versions).toEqual([1]);
   });
 
