--- a/packages/claims/src/onceGuard.ts
+++ b/packages/claims/src/onceGuard.ts
@@ -1,4 +1,4 @@
-/** Shell of the once-guard: claims a key in the table service, then lets the call be sent. */
+/** Runs calls at most once: a call is sent only after its key was claimed in the table service. */
 import { assertNever, type Clock, type Ms, type Random } from "@stairgauge/common";
 import {
   createOnceCall,
@@ -13,38 +13,43 @@
 import { decodeClaim, encodeClaim, toClaimRow, type OnceKey } from "./claimRecord.js";
 import type { WriteBatcher } from "./writeBatcher.js";
 
+/** Attempts to write how a call ended. */
 const MAX_END_WRITES = 4;
 
-/** Wait between two tries against a store that gave no answer. */
+/** Delay before the next attempt after a failed read or write of the store. */
 const RETRY_DELAY_MS = 200 as Ms;
 
-/** Longest life of a claimed call: past it, its owner has surely given up. */
+/** Milliseconds until a claim expires. By then the box that made it has stopped waiting for the call. */
 const CALL_LIFE_MS = 120_000;
 
-/** What the guard tells of one call. Exactly one of these is called, once. */
+/** Callbacks for one call. Exactly one of them is called, once. */
 export type OnceHandlers = Readonly<{
   /** The claim is confirmed: send the call now. */
   onSend: (claimed: ClaimedCall) => void;
+  /** The call ran before: return its stored answer. */
   onReplay: (answer: KeptAnswer) => void;
+  /** The call is not sent; `outcome` says whether it may have run before. */
   onRefused: (reason: OnceRefusal, outcome: Outcome) => void;
 }>;
 
-/** A call whose claim is held; tell how it ended, once. */
+/** A call whose claim is confirmed. Its owner must record once how it ended. */
 export type ClaimedCall = Readonly<{
-  /** Resolves once the end has been recorded or that was given up. */
+  /** Resolves once the answer is stored, or after the last attempt to store it has failed. */
   recordAnswer: (answer: KeptAnswer | undefined) => Promise<void>;
+  /** Resolves like `recordAnswer`. */
   recordFailure: (outcome: Outcome) => Promise<void>;
 }>;
 
-/** Guards calls that may run once. */
+/** Runs each call at most once per key. */
 export type OnceGuard = Readonly<{
+  /** Claims the call's key, then calls one of the handlers. */
   claim: (
     call: Readonly<{ key: OnceKey; contentHash: string }>,
     handlers: OnceHandlers,
   ) => void;
 }>;
 
-/** Creates the guard of a box. */
+/** Creates the guard of one box. */
 export const createOnceGuard = (deps: {
   readonly table: TableService;
   readonly batcher: WriteBatcher;
@@ -80,7 +85,7 @@
     const expiresAt = clock.now() + CALL_LIFE_MS;
     const guard = createOnceCall({ attempt, contentHash, expiresAt });
 
-    const send = (event: OnceEvent): Promise<void> =>
+    const dispatch = (event: OnceEvent): Promise<void> =>
       applyAll(guard.handle(event, clock.now()));
     const applyAll = async (actions: readonly OnceAction[]): Promise<void> => {
       for (const action of actions) await apply(action);
@@ -95,7 +100,7 @@
             ? { kind: "absent" }
             : { kind: "revision", revision: expectedRevision },
       });
-      await send(
+      await dispatch(
         result.err
           ? toEvent(result.val)
           : { kind: "claimWritten", revision: result.val.revision },
@@ -105,14 +110,15 @@
       const row = await table.read(at);
       if (row.err) {
         await wait();
-        await send({ kind: "readFailed" });
-      } else await send({ kind: "claimRead", found: row.val && decodeClaim(row.val) });
+        await dispatch({ kind: "readFailed" });
+      } else
+        await dispatch({ kind: "claimRead", found: row.val && decodeClaim(row.val) });
     };
     const writeEnd = async (value: Claim, revision: number) => {
-      for (let tries = 0; tries < MAX_END_WRITES; tries += 1) {
+      for (let attempts = 0; attempts < MAX_END_WRITES; attempts += 1) {
         const expected = { kind: "revision", revision } as const;
         const result = await batcher.write({ at, value: encodeClaim(value), expected });
-        // NOTE: after a lost answer the repeat meets a conflict with this very end.
+        // NOTE: a conflict can mean that an earlier attempt was written but its answer was lost.
         if (result.ok || result.val.kind === "conflict") return;
         await wait();
       }
@@ -125,8 +131,8 @@
     };
 
     const claimed: ClaimedCall = {
-      recordAnswer: (answer) => send({ kind: "answered", answer }),
-      recordFailure: (outcome) => send({ kind: "callFailed", outcome }),
+      recordAnswer: (answer) => dispatch({ kind: "answered", answer }),
+      recordFailure: (outcome) => dispatch({ kind: "callFailed", outcome }),
     };
 
     const apply = (action: OnceAction): Promise<void> | void => {
@@ -150,7 +156,7 @@
       }
     };
 
-    void send({ kind: "started" });
+    void dispatch({ kind: "started" });
   };
 
   return { claim };
