--- a/packages/telemetry/src/boxMetrics.ts
+++ b/packages/telemetry/src/boxMetrics.ts
@@ -14,36 +14,36 @@
     registry,
     decisions: new Counter({
       name: "stairgauge_decisions_total",
-      help: "Decisions about requests, by kind",
+      help: "Decisions that touched a request, by kind",
       labelNames: ["kind"],
       registers,
     }),
     streamEnds: new Counter({
       name: "stairgauge_stream_ends_total",
-      help: "Ended streams, by the framing of their last answer (none: it had no head) and how they ended",
+      help: "Streams that ended, by how their last answer was framed (none: it had no head) and how they ended",
       labelNames: ["framing", "end"],
       registers,
     }),
     moves: new Counter({
       name: "stairgauge_moves_total",
-      help: "Steps of moves of runs between engines, by kind",
+      help: "Steps of moving runs between engines, by kind",
       labelNames: ["kind"],
       registers,
     }),
     storeFailures: new Counter({
       name: "stairgauge_store_failures_total",
-      help: "Failed calls to the platform's store, by table and failure",
+      help: "Calls of the platform's store that brought nothing, by table and failure",
       labelNames: ["table", "kind"],
       registers,
     }),
     storeEra: new Gauge({
       name: "stairgauge_store_era",
-      help: "Era of the platform's store since its last restore from a backup, 0 before this box has seen a restore",
+      help: "Era of the platform's store since it last came back from a copy, 0 before it has under this box",
       registers,
     }),
     restoredRows: new Counter({
       name: "stairgauge_store_restored_rows_total",
-      help: "Rows of a restored store that differ from what the box had on record, by table and difference: undone, missing, withheld",
+      help: "Rows in which the store's copy differed from what was known, by table and how: undone, missing, withheld",
       labelNames: ["table", "as"],
       registers,
     }),
@@ -59,33 +59,33 @@
     }),
     blockedRequests: new Gauge({
       name: "stairgauge_blocked_requests",
-      help: "Requests that are blocked because servers crashed while running them",
+      help: "Requests that are kept from servers, since servers ended under them",
       registers,
     }),
     serverSigns: new Counter({
       name: "stairgauge_server_signs_total",
-      help: "Signals of servers about themselves in their answers, by signal and value",
+      help: "What servers said of themselves in answers, by what it was about and what it said",
       labelNames: ["sign", "is"],
       registers,
     }),
     restingServers: new Gauge({
       name: "stairgauge_resting_servers",
-      help: "Backend servers that asked this box for a backoff and get no requests from it until it ends",
+      help: "Backend servers that have turned this box away, and get nothing of it for a while",
       registers,
     }),
     limitedServers: new Gauge({
       name: "stairgauge_limited_servers",
-      help: "Backend servers that have announced a request limit",
+      help: "Backend servers that have named how many requests they take",
       registers,
     }),
     limitedPerSecond: new Gauge({
       name: "stairgauge_limited_per_second",
-      help: "Requests per second that servers with an announced limit accept from all boxes together",
+      help: "Requests a second that servers with a limit take from all boxes together",
       registers,
     }),
     limitedSent: new Counter({
       name: "stairgauge_limited_sent_total",
-      help: "Requests placed on servers that have announced a limit",
+      help: "Requests placed at servers that have named a limit",
       registers,
     }),
     peerMessages: new Counter({
@@ -102,7 +102,7 @@
     }),
     peerLinks: new Gauge({
       name: "stairgauge_peer_links",
-      help: "Open links from this box to other boxes",
+      help: "Links that the box holds to others",
       registers,
     }),
     answerSeconds: new Histogram({
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -16,7 +16,7 @@
     registry,
     requests: new Counter({
       name: "stairgauge_requests_total",
-      help: "Callers' requests, by interface and how they ended",
+      help: "Callers' requests by interface and how they ended",
       labelNames: ["interface", "end"],
       registers,
     }),
@@ -46,17 +46,17 @@
     }),
     tokens: new Counter({
       name: "stairgauge_tokens_relayed_total",
-      help: "Tokens sent to callers",
+      help: "Tokens handed to callers",
       registers,
     }),
     openStreams: new Gauge({
       name: "stairgauge_open_streams",
-      help: "Generations that callers are waiting for or reading",
+      help: "Generations that callers wait for or read",
       registers,
     }),
     waiting: new Gauge({
       name: "stairgauge_waiting_requests",
-      help: "Requests that are waiting for placement",
+      help: "Requests that wait for a place",
       registers,
     }),
     leavingServers: new Gauge({
@@ -71,7 +71,7 @@
     }),
     headFailures: new Counter({
       name: "stairgauge_bundle_head_failures_total",
-      help: "Bundle heads that were not adopted, by reason",
+      help: "Heads that were not adopted, by reason",
       labelNames: ["kind"],
       registers,
     }),
