--- a/apps/cli/src/diagnose.ts
+++ b/apps/cli/src/diagnose.ts
@@ -2,14 +2,14 @@
 import { writeFileSync } from "node:fs";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import {
-  buildChronicle,
+  buildTimeline,
   collectAccounts,
   countLosses,
   describeCause,
   explainRequest,
   readLogs,
   renderLossPlot,
-  type Chronicle,
+  type Timeline,
   type Explanation,
   type FaultCounts,
 } from "@stairgauge/diagnosis";
@@ -17,24 +17,24 @@
 import { readText } from "./openSite.js";
 import { renderTable, type Output } from "./output.js";
 
-type Read = Readonly<{ chronicle: Chronicle; faults: FaultCounts }>;
+type Read = Readonly<{ timeline: Timeline; faults: FaultCounts }>;
 
-const readChronicle = async (
+const readTimeline = async (
   paths: readonly string[],
 ): Promise<Result<Read, CommandFailure>> => {
   const read = await readLogs(paths);
   if (read.err) return Err(read.val);
   const { lines, faults } = read.val;
   if (lines.length === 0) return Err({ kind: "no_log_lines", faults });
-  return Ok({ chronicle: buildChronicle(lines), faults });
+  return Ok({ timeline: buildTimeline(lines), faults });
 };
 
 /** What was not used, a line each; nothing when all was. */
-const describeGaps = ({ chronicle, faults }: Read): string => {
+const describeGaps = ({ timeline, faults }: Read): string => {
   const gaps = [
     [faults.broken_object, "lines are cut off or broken"],
     [faults.foreign_object, "lines are no lines of a box"],
-    [chronicle.leftOut, "lines were left out by the boxes, to bound their logs"],
+    [timeline.droppedLines, "lines were left out by the boxes, to bound their logs"],
   ] as const;
   return gaps
     .filter(([count]) => count > 0)
@@ -65,9 +65,9 @@
   request: string,
   paths: readonly string[],
 ): Promise<Result<Output, CommandFailure>> => {
-  const read = await readChronicle(paths);
+  const read = await readTimeline(paths);
   if (read.err) return Err(read.val);
-  const explanations = explainRequest(read.val.chronicle, request);
+  const explanations = explainRequest(read.val.timeline, request);
   if (explanations.length === 0) return Err({ kind: "unknown_request", request });
   const text = explanations.map(formatExplanation).join("\n") + describeGaps(read.val);
   return Ok({ json: { explanations, faults: read.val.faults }, text });
@@ -121,9 +121,9 @@
   if (worth.err) return Err(worth.val);
   const asked = readAsked(options.asked);
   if (asked.err) return Err(asked.val);
-  const read = await readChronicle(options.logs);
+  const read = await readTimeline(options.logs);
   if (read.err) return Err(read.val);
-  const accounts = collectAccounts(read.val.chronicle, asked.val);
+  const accounts = collectAccounts(read.val.timeline, asked.val);
   const counts = countLosses(accounts, worth.val);
   if (options.plot !== undefined) {
     const written = writePlot(options.plot, await renderLossPlot(accounts));
--- a/packages/diagnosis/src/diagnosis.test.ts
+++ b/packages/diagnosis/src/diagnosis.test.ts
@@ -4,7 +4,7 @@
 import fc from "fast-check";
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import {
-  buildChronicle,
+  buildTimeline,
   collectAccounts,
   countLosses,
   describeCause,
@@ -17,8 +17,8 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Writes lines of one box; its steady clock starts at zero. */
-const makeBox = (box: string, startsAt = 1_000_000) => {
+/** Creates a log writer for one box; its monotonic clock starts at zero. */
+const createBoxLog = (box: string, startsAt = 1_000_000) => {
   let at = 0;
   const lines: string[] = [];
   const write = (event: string, fields: Fields = {}) => {
@@ -28,15 +28,15 @@
   return {
     lines,
     write,
-    about: (request: string, event: string, fields: Fields = {}) =>
+    writeRequest: (request: string, event: string, fields: Fields = {}) =>
       write(event, { request, route: "draft", ...fields }),
-    pass: (duration: number) => {
+    advance: (duration: number) => {
       at += duration;
     },
   };
 };
 
-type BoxLog = ReturnType<typeof makeBox>;
+type BoxLog = ReturnType<typeof createBoxLog>;
 
 const parseAll = (...boxes: readonly BoxLog[]): readonly LogLine[] =>
   boxes.flatMap(({ lines }) =>
@@ -47,20 +47,20 @@
   );
 
 const findCause = (lines: readonly LogLine[], request = "r"): string | undefined => {
-  const accounts = collectAccounts(buildChronicle(lines));
+  const accounts = collectAccounts(buildTimeline(lines));
   const own = accounts.find((account) => account.request === request);
   return own && describeCause(own.cause);
 };
 
 const AIMS = { aimMs: 1_800, pauseAimMs: 180 };
 
-describe("the cause of what a request met", () => {
-  const tell = (...steps: readonly (readonly [string, Fields])[]) => {
-    const box = makeBox("a");
+describe("cause of a request", () => {
+  const logRequest = (...steps: readonly (readonly [string, Fields])[]) => {
+    const box = createBoxLog("a");
     box.write("starting");
     for (const [event, fields] of steps) {
-      box.pass(10);
-      box.about("r", event, fields);
+      box.advance(10);
+      box.writeRequest("r", event, fields);
     }
     return box;
   };
@@ -177,55 +177,55 @@
     ],
     ["still open", [makePlaced(0)]],
   ])("%s", (expected, steps) => {
-    expect(findCause(parseAll(tell(...steps)))).toBe(expected);
+    expect(findCause(parseAll(logRequest(...steps)))).toBe(expected);
   });
 
-  it("tells an engine whose leaving was known from one that went without a word", () => {
-    const box = makeBox("a");
+  it("classifies an engine that was known to be leaving as announced", () => {
+    const box = createBoxLog("a");
     box.write("starting");
-    box.about("r", "placed", { server: "s1" });
+    box.writeRequest("r", "placed", { server: "s1" });
     box.write("server_leaving", { server: "s1", reason: "state" });
-    box.about("r", "stream_lost", { server: "s1" });
+    box.writeRequest("r", "stream_lost", { server: "s1" });
     expect(findCause(parseAll(box))).toBe("engine ended: before copy");
   });
 
-  it("counts what was open at a box that started anew, fell silent or stopped as the box's end", () => {
-    const again = makeBox("a");
-    again.write("starting");
-    again.about("r", "placed");
-    again.write("starting");
-    expect(findCause(parseAll(again))).toBe("box ended");
+  it("classifies a request left open as ended by its box when the box restarted, went silent or stopped", () => {
+    const restarted = createBoxLog("a");
+    restarted.write("starting");
+    restarted.writeRequest("r", "placed");
+    restarted.write("starting");
+    expect(findCause(parseAll(restarted))).toBe("box ended");
 
-    const silent = makeBox("a");
+    const silent = createBoxLog("a");
     silent.write("starting");
-    silent.about("r", "placed");
-    const other = makeBox("b");
-    other.pass(5_000);
+    silent.writeRequest("r", "placed");
+    const other = createBoxLog("b");
+    other.advance(5_000);
     other.write("peers");
     expect(findCause(parseAll(silent, other))).toBe("box ended");
 
-    const stopped = makeBox("a");
+    const stopped = createBoxLog("a");
     stopped.write("starting");
-    stopped.about("r", "placed");
+    stopped.writeRequest("r", "placed");
     stopped.write("stopped");
     expect(findCause(parseAll(stopped))).toBe("box ended");
   });
 
-  it("does not guess at a request that its box went on without", () => {
-    const box = makeBox("a");
+  it("classifies a request as unexplained when its box kept running and logged no end", () => {
+    const box = createBoxLog("a");
     box.write("starting");
-    box.about("r", "placed");
-    box.pass(61_000);
+    box.writeRequest("r", "placed");
+    box.advance(61_000);
     box.write("peers", { linesLeftOut: 4 });
-    const chronicle = buildChronicle(parseAll(box));
+    const timeline = buildTimeline(parseAll(box));
     expect(findCause(parseAll(box))).toBe("unexplained");
-    expect(chronicle.leftOut).toBe(4);
+    expect(timeline.droppedLines).toBe(4);
   });
 
-  it("counts an id that no line names as never reached", () => {
-    const box = makeBox("a");
-    box.about("r", "answered", { status: 200, afterMs: 1, aimMs: 5 });
-    const accounts = collectAccounts(buildChronicle(parseAll(box)), ["r", "x", "x"]);
+  it("classifies a sent id that no line contains as never reached", () => {
+    const box = createBoxLog("a");
+    box.writeRequest("r", "answered", { status: 200, afterMs: 1, aimMs: 5 });
+    const accounts = collectAccounts(buildTimeline(parseAll(box)), ["r", "x", "x"]);
     expect(accounts.map(({ request, cause }) => [request, cause.kind])).toEqual([
       ["r", "served"],
       ["x", "never_reached"],
@@ -233,23 +233,23 @@
   });
 });
 
-describe("buildChronicle", () => {
-  it("puts boxes with steady clocks of their own on one time, also while the time of day jumps", () => {
-    const early = makeBox("a", 5_000_000);
+describe("buildTimeline", () => {
+  it("puts boxes with different monotonic clocks on one time, also when the time of day jumps", () => {
+    const early = createBoxLog("a", 5_000_000);
     early.write("starting");
-    early.pass(3_000);
-    early.about("r1", "answered", { status: 200, afterMs: 1, aimMs: 5 });
-    const late = makeBox("b", 5_002_000);
+    early.advance(3_000);
+    early.writeRequest("r1", "answered", { status: 200, afterMs: 1, aimMs: 5 });
+    const late = createBoxLog("b", 5_002_000);
     late.write("starting");
     for (let i = 0; i < 3; i += 1) late.write("peers");
-    late.pass(1_000);
-    late.about("r2", "answered", { status: 200, afterMs: 1, aimMs: 5 });
+    late.advance(1_000);
+    late.writeRequest("r2", "answered", { status: 200, afterMs: 1, aimMs: 5 });
     late.lines[2] = late.lines[2]!.replace("5002000", "9999999");
-    const accounts = collectAccounts(buildChronicle(parseAll(early, late)));
+    const accounts = collectAccounts(buildTimeline(parseAll(early, late)));
     expect(accounts.map(({ second }) => second)).toEqual([3, 3]);
   });
 
-  it("gives every request exactly one account, whatever the lines (property)", () => {
+  it("returns exactly one account for every request, for any lines (property)", () => {
     const event = fc.constantFrom(
       "starting",
       "placed",
@@ -270,15 +270,15 @@
       status: fc.constantFrom(200, 500),
     });
     fc.assert(
-      fc.property(fc.array(line, { minLength: 1 }), (drawn) => {
-        const texts = drawn.map((one) => JSON.stringify(one));
+      fc.property(fc.array(line, { minLength: 1 }), (samples) => {
+        const texts = samples.map((one) => JSON.stringify(one));
         const lines = texts.flatMap((text) => {
           const parsed = parseLogLine(text);
           return parsed.ok ? [parsed.val] : [];
         });
-        const chronicle = buildChronicle(lines);
-        const accounts = collectAccounts(chronicle);
-        expect(accounts).toHaveLength(chronicle.stories.length);
+        const timeline = buildTimeline(lines);
+        const accounts = collectAccounts(timeline);
+        expect(accounts).toHaveLength(timeline.requestLogs.length);
         const counted = countLosses(accounts).reduce((sum, one) => sum + one.requests, 0);
         expect(counted).toBe(accounts.length);
       }),
@@ -288,14 +288,14 @@
 });
 
 describe("countLosses", () => {
-  it("puts what is worth most first, and names the worst second", () => {
-    const box = makeBox("a");
+  it("sorts by worth, highest first, and reports the second with the most requests", () => {
+    const box = createBoxLog("a");
     box.write("starting");
     for (const id of ["r1", "r2", "r3"])
       box.write("answered", { request: id, route: "plain", status: 500 });
-    box.pass(2_500);
-    box.about("r4", "stream_lost", { server: "s1" });
-    const accounts = collectAccounts(buildChronicle(parseAll(box)));
+    box.advance(2_500);
+    box.writeRequest("r4", "stream_lost", { server: "s1" });
+    const accounts = collectAccounts(buildTimeline(parseAll(box)));
     const [first, second] = countLosses(accounts, new Map([["draft", 100]]));
     expect(first).toMatchObject({ route: "draft", worth: 100, worstSecond: 2 });
     expect(second).toMatchObject({
@@ -308,16 +308,16 @@
 });
 
 describe("explainRequest", () => {
-  it("tells a request's own lines and what its box met meanwhile, of its servers only", () => {
-    const box = makeBox("a");
+  it("returns the request's own lines and the box's events about its servers only", () => {
+    const box = createBoxLog("a");
     box.write("store_lost", { failure: { kind: "timeout" } });
-    box.about("r", "placed", { server: "s1", versionAgeMs: 40 });
+    box.writeRequest("r", "placed", { server: "s1", versionAgeMs: 40 });
     box.write("server_leaving", { server: "s2" });
     box.write("server_leaving", { server: "s1" });
-    box.pass(7);
-    box.about("r", "stream_lost", { server: "s1" });
-    const chronicle = buildChronicle(parseAll(box));
-    const [explained] = explainRequest(chronicle, "r");
+    box.advance(7);
+    box.writeRequest("r", "stream_lost", { server: "s1" });
+    const timeline = buildTimeline(parseAll(box));
+    const [explained] = explainRequest(timeline, "r");
     expect(explained!.steps.map(({ event, afterMs }) => [event, afterMs])).toEqual([
       ["store_lost", 0],
       ["server_leaving", 0],
@@ -325,12 +325,12 @@
       ["stream_lost", 7],
     ]);
     expect(explained!.steps[2]!.inputs).toMatchObject({ versionAgeMs: 40 });
-    expect(explainRequest(chronicle, "other")).toEqual([]);
+    expect(explainRequest(timeline, "other")).toEqual([]);
   });
 });
 
-describe("explainRequest of a stream that went on elsewhere", () => {
-  it("tells how each server's bytes ended, and what its box met of both", () => {
+describe("explainRequest of a stream continued on another server", () => {
+  it("shows how the bytes of each server ended, and the box's events about both servers", () => {
     const first = {
       framing: "connection",
       closed: "ECONNRESET",
@@ -347,17 +347,17 @@
       bytesLeft: 0,
       continuations: 1,
     };
-    const box = makeBox("a");
-    box.about("r", "placed", { server: "s1" });
-    box.pass(5);
+    const box = createBoxLog("a");
+    box.writeRequest("r", "placed", { server: "s1" });
+    box.advance(5);
     box.write("server_leaving", { server: "s1" });
-    box.pass(40);
-    box.about("r", "resumed", { from: "s1", to: "s2", events: 1, ...first });
-    box.pass(5);
+    box.advance(40);
+    box.writeRequest("r", "resumed", { from: "s1", to: "s2", events: 1, ...first });
+    box.advance(5);
     box.write("server_leaving", { server: "s2" });
-    box.pass(30);
-    box.about("r", "stream_ended", { server: "s2", ...second });
-    const [explained] = explainRequest(buildChronicle(parseAll(box)), "r");
+    box.advance(30);
+    box.writeRequest("r", "stream_ended", { server: "s2", ...second });
+    const [explained] = explainRequest(buildTimeline(parseAll(box)), "r");
     const { cause, steps } = explained!;
     expect(describeCause(cause)).toBe("served");
     expect(steps.map(({ event, afterMs }) => [event, afterMs])).toEqual([
@@ -373,11 +373,11 @@
 });
 
 describe("renderLossPlot", () => {
-  it("draws each cause that took something, and none that did not", async () => {
-    const box = makeBox("a");
-    box.about("r1", "answered", { status: 500 });
-    box.about("r2", "answered", { status: 200, afterMs: 1, aimMs: 5 });
-    const svg = await renderLossPlot(collectAccounts(buildChronicle(parseAll(box))));
+  it("draws each cause of a loss, and leaves out served requests", async () => {
+    const box = createBoxLog("a");
+    box.writeRequest("r1", "answered", { status: 500 });
+    box.writeRequest("r2", "answered", { status: 200, afterMs: 1, aimMs: 5 });
+    const svg = await renderLossPlot(collectAccounts(buildTimeline(parseAll(box))));
     expect(svg.startsWith("<svg")).toBe(true);
     expect(svg).toContain("server failed: own failure");
     expect(svg).not.toContain(">served<");
@@ -385,8 +385,8 @@
 });
 
 describe("renderLossPlot with many routes", () => {
-  it("gives the worst a row each, and the rest one together", async () => {
-    const box = makeBox("a");
+  it("gives the routes with most losses a row each, and all others one shared row", async () => {
+    const box = createBoxLog("a");
     for (let route = 0; route < 9; route += 1)
       for (let i = 0; i <= route; i += 1)
         box.write("answered", {
@@ -394,7 +394,7 @@
           route: `route-${route}`,
           status: 500,
         });
-    const svg = await renderLossPlot(collectAccounts(buildChronicle(parseAll(box))));
+    const svg = await renderLossPlot(collectAccounts(buildTimeline(parseAll(box))));
     expect(svg).toContain(">route-8<");
     expect(svg).toContain(">(other routes)<");
     expect(svg).not.toContain(">route-0<");
@@ -408,7 +408,7 @@
   });
   afterAll(() => rmSync(folder, { recursive: true }));
 
-  it("counts lines that it cannot use by their fault, and uses the rest of a file that is cut off", async () => {
+  it("counts unusable lines by fault, and returns the usable lines of a truncated file", async () => {
     const path = join(folder, "a.log");
     const whole = JSON.stringify({ box: "a", at: 1, event: "peers" });
     const texts = [
@@ -426,7 +426,7 @@
     });
   });
 
-  it("names a file that it cannot read", async () => {
+  it("fails with unreadable_file when a file cannot be read", async () => {
     const read = await readLogs([join(folder, "none.log")]);
     expect(read.err && read.val).toMatchObject({ kind: "unreadable_file" });
   });
--- a/packages/diagnosis/src/explainRequest.ts
+++ b/packages/diagnosis/src/explainRequest.ts
@@ -1,13 +1,13 @@
-/** Tells one request's way: each decision with its inputs and their age, what its box met meanwhile, and the cause. */
+/** Explains one request: each decision with its inputs, the relevant events at its box, and the cause. */
 import type { Ms } from "@stairgauge/common";
-import { judgeCause } from "./judgeCause.js";
-import type { Cause, Chronicle, RequestStory, TimedLine } from "./types.js";
+import { classifyCause } from "./classifyCause.js";
+import type { Cause, Timeline, RequestLog, TimedLine } from "./types.js";
 
-/** How long before a request what its box met may still bear on it. */
-const BEFORE_MS = 5_000;
+/** Events at the box up to this long before a request's first line are shown with it. */
+const LOOKBACK_MS = 5_000;
 
-/** Lines about no request that bear on those of the same box. */
-const BEARING: ReadonlySet<string> = new Set([
+/** Events without a request id that can affect the requests at the same box. */
+const RELEVANT_EVENTS: ReadonlySet<string> = new Set([
   "starting",
   "stopping",
   "stopped",
@@ -19,16 +19,18 @@
   "peer_lost",
 ]);
 
-/** One step, in order. */
+/** One log line of the explanation. */
 export type ExplainedStep = Readonly<{
-  /** From the request's first line on; negative before it. */
+  /** Milliseconds since the request's first line; negative before it. */
   afterMs: Ms;
   event: string;
+  /** True for a line of the request itself, false for an event at its box. */
   isOwn: boolean;
+  /** All other fields of the log line. */
   inputs: Readonly<Record<string, unknown>>;
 }>;
 
-/** One request at one box. */
+/** The cause and the steps of one request at one box, in order of time. */
 export type Explanation = Readonly<{
   request: string;
   box: string;
@@ -36,45 +38,53 @@
   steps: readonly ExplainedStep[];
 }>;
 
-const collectServers = ({ lines }: RequestStory): ReadonlySet<unknown> =>
+const collectServers = ({ lines }: RequestLog): ReadonlySet<unknown> =>
   new Set(
     lines.flatMap(({ fields }) => [fields["server"], fields["from"], fields["to"]]),
   );
 
-const collectBearing = (
-  story: RequestStory,
-  happenings: readonly TimedLine[],
+const collectRelevantEvents = (
+  requestLog: RequestLog,
+  boxEvents: readonly TimedLine[],
 ): readonly TimedLine[] => {
-  const servers = collectServers(story);
-  const from = story.lines[0]!.sharedAt - BEFORE_MS;
-  const until = story.lines.at(-1)!.sharedAt;
-  return happenings.filter(
-    ({ box, event, sharedAt, fields }) =>
-      box === story.run.box &&
-      BEARING.has(event) &&
-      sharedAt >= from &&
-      sharedAt <= until &&
+  const servers = collectServers(requestLog);
+  const from = requestLog.lines[0]!.timelineAt - LOOKBACK_MS;
+  const until = requestLog.lines.at(-1)!.timelineAt;
+  return boxEvents.filter(
+    ({ box, event, timelineAt, fields }) =>
+      box === requestLog.run.box &&
+      RELEVANT_EVENTS.has(event) &&
+      timelineAt >= from &&
+      timelineAt <= until &&
       (fields["server"] === undefined || servers.has(fields["server"])),
   );
 };
 
-/** Explains a request; none when no line names it, several when its id came to several boxes. */
+/**
+ * Returns one explanation for each run of a box that logged the request id: none when no line has it, several when
+ * several boxes received it.
+ */
 export const explainRequest = (
-  chronicle: Chronicle,
+  timeline: Timeline,
   request: string,
 ): readonly Explanation[] =>
-  chronicle.stories
-    .filter((story) => story.request === request)
-    .map((story) => {
-      const start = story.lines[0]!.sharedAt;
-      const bearing = collectBearing(story, chronicle.happenings);
-      const steps = [...bearing, ...story.lines]
-        .sort((a, b) => a.sharedAt - b.sharedAt)
-        .map(({ sharedAt, event, request: own, fields }) => ({
-          afterMs: Math.round(sharedAt - start) as Ms,
+  timeline.requestLogs
+    .filter((requestLog) => requestLog.request === request)
+    .map((requestLog) => {
+      const start = requestLog.lines[0]!.timelineAt;
+      const relevant = collectRelevantEvents(requestLog, timeline.boxEvents);
+      const steps = [...relevant, ...requestLog.lines]
+        .sort((a, b) => a.timelineAt - b.timelineAt)
+        .map(({ timelineAt, event, request: requestId, fields }) => ({
+          afterMs: Math.round(timelineAt - start) as Ms,
           event,
-          isOwn: own !== undefined,
+          isOwn: requestId !== undefined,
           inputs: fields,
         }));
-      return { request, box: story.run.box, cause: judgeCause(story, chronicle), steps };
+      return {
+        request,
+        box: requestLog.run.box,
+        cause: classifyCause(requestLog, timeline),
+        steps,
+      };
     });
--- a/packages/diagnosis/src/groupBy.ts
+++ b/packages/diagnosis/src/groupBy.ts
@@ -1,4 +1,4 @@
-/** Groups items under a key, in the order in which they come. */
+/** Groups items by key; keys and items keep their order of first appearance. */
 export const groupBy = <T>(
   items: readonly T[],
   toKey: (item: T) => string,
--- a/packages/diagnosis/src/parseLogLine.ts
+++ b/packages/diagnosis/src/parseLogLine.ts
@@ -1,4 +1,4 @@
-/** Reads one line of a box's log. */
+/** Parses one line of a box's log. */
 import { Err, Ok, type Ms, type Result } from "@stairgauge/common";
 import { z } from "zod";
 import type { LineFault, LogLine } from "./types.js";
@@ -19,7 +19,7 @@
   }
 };
 
-/** Parses a line; what a collector put before the object is passed over. */
+/** Parses a line. Text before the JSON object, such as a log collector's prefix, is ignored. */
 export const parseLogLine = (text: string): Result<LogLine, LineFault> => {
   const start = text.indexOf("{");
   if (start < 0) return Err("no_object");
--- a/packages/diagnosis/src/plotLosses.ts
+++ b/packages/diagnosis/src/plotLosses.ts
@@ -1,16 +1,16 @@
-/** Draws what was lost, second by second, as a picture. */
+/** Plots the requests that were not served in time, per second. */
 import { parse, View } from "vega";
 import { compile, type TopLevelSpec } from "vega-lite";
 import { groupBy } from "./groupBy.js";
-import { describeCause } from "./judgeCause.js";
+import { describeCause } from "./classifyCause.js";
 import type { RequestAccount } from "./types.js";
 
 const WIDTH_PX = 900;
 const ROW_HEIGHT_PX = 110;
-/** Room for the longest name of a cause. */
+/** Wide enough for the longest description of a cause. */
 const LABEL_PX = 320;
 
-/** Rows of the picture; routes beyond the worst share the last one. */
+/** Rows of the plot; the routes with the fewest losses share the last row. */
 const MAX_ROWS = 6;
 const OTHER_ROUTES = "(other routes)";
 
@@ -22,7 +22,7 @@
   second,
 });
 
-/** Names the routes that lost most, worst first. */
+/** Returns the routes sorted by their number of lost requests, highest first. */
 const rankRoutes = (points: readonly Point[]): readonly string[] =>
   [...groupBy(points, ({ route }) => route)]
     .sort(([, a], [, b]) => b.length - a.length)
@@ -82,7 +82,7 @@
   },
 });
 
-/** Renders an SVG of all requests but those served in time. */
+/** Renders an SVG plot of all requests that were not served in time. */
 export const renderLossPlot = async (
   accounts: readonly RequestAccount[],
 ): Promise<string> => {
--- a/packages/diagnosis/src/readLogs.ts
+++ b/packages/diagnosis/src/readLogs.ts
@@ -1,17 +1,17 @@
-/** Reads log files line by line; a faulty line is counted, and the rest is used. */
+/** Reads log files line by line; unusable lines are only counted. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import { parseLogLine } from "./parseLogLine.js";
 import type { LineFault, LogLine } from "./types.js";
 
-/** How many lines could not be used, by fault. */
+/** Number of unusable lines by fault. */
 export type FaultCounts = Readonly<Record<LineFault, number>>;
 
-/** What the files hold. */
+/** The lines of all files, and the number of unusable ones. */
 export type LogSet = Readonly<{ lines: readonly LogLine[]; faults: FaultCounts }>;
 
-/** A file that cannot be read at all. */
+/** A file that could not be read. */
 export type LogFailure = Readonly<{
   kind: "unreadable_file";
   path: string;
@@ -23,7 +23,7 @@
 const openSource = (path: string) =>
   path === STANDARD_INPUT ? process.stdin : createReadStream(path, "utf8");
 
-/** Reads the files in the order given; `-` is standard input. */
+/** Reads the files in the given order; `-` is standard input. Fails at the first file that cannot be read. */
 export const readLogs = async (
   paths: readonly string[],
 ): Promise<Result<LogSet, LogFailure>> => {
--- a/packages/diagnosis/src/types.ts
+++ b/packages/diagnosis/src/types.ts
@@ -1,101 +1,102 @@
-/** What boxes' log lines tell of requests, in the words of this package. */
+/** Types for log lines, the timeline of all boxes and the causes of requests' ends. */
 import type { Ms } from "@stairgauge/common";
 
-/** One line that a box wrote. */
+/** One parsed log line of a box. */
 export type LogLine = Readonly<{
   box: string;
-  /** Steady clock of the box; comparable within one run of its process only. */
+  /** Monotonic clock of the box; comparable within one run of its process only. */
   at: Ms;
-  /** Time of day, where the line has it; it may jump. */
+  /** Time of day; undefined if the line has none. It may jump when the clock is set. */
   time: Ms | undefined;
   event: string;
+  /** Id of the request; undefined for an event of the box itself. */
   request: string | undefined;
-  /** Whatever else the line holds. */
+  /** All other fields of the line. */
   fields: Readonly<Record<string, unknown>>;
 }>;
 
-/** Why a line could not be used. */
+/** Why a line is unusable. */
 export type LineFault =
-  /** Holds no JSON object: another program's line, or an empty one. */
+  /** No JSON object: an empty line, or one of another program. */
   | "no_object"
-  /** Its object is cut off or otherwise broken. */
+  /** The JSON object is truncated or invalid. */
   | "broken_object"
-  /** An object, but without the fields that each line of a box has. */
+  /** A JSON object without the fields that every log line of a box has. */
   | "foreign_object";
 
-/** One run of a box's process, from its start to its end as far as the lines tell. */
+/** One run of a box's process. */
 export type BoxRun = Readonly<{
   box: string;
-  /** Points on the time that all boxes share. */
+  /** Times of its first and last log line, on the common time of all boxes. */
   beginsAt: Ms;
   endsAt: Ms;
-  /** It said that it has stopped. */
+  /** It logged that it stopped. */
   isStopped: boolean;
-  /** The box started anew after it. */
-  isFollowed: boolean;
+  /** A later run of the same box is in the log. */
+  wasRestarted: boolean;
 }>;
 
-/** A line and when it was written, on the time that all boxes share. */
-export type TimedLine = LogLine & Readonly<{ sharedAt: Ms }>;
+/** A log line with the time at which it was written, on the common time of all boxes. */
+export type TimedLine = LogLine & Readonly<{ timelineAt: Ms }>;
 
-/** All that one run of a box wrote of one request. */
-export type RequestStory = Readonly<{
+/** All log lines of one request from one run of a box. */
+export type RequestLog = Readonly<{
   request: string;
   run: BoxRun;
   lines: readonly TimedLine[];
 }>;
 
-/** All lines, in order. */
-export type Chronicle = Readonly<{
-  stories: readonly RequestStory[];
-  /** Lines that are about no request. */
-  happenings: readonly TimedLine[];
+/** The log lines of all boxes on a common time. */
+export type Timeline = Readonly<{
+  requestLogs: readonly RequestLog[];
+  /** Lines without a request id, in order of time. */
+  boxEvents: readonly TimedLine[];
   beginsAt: Ms;
   endsAt: Ms;
-  /** Lines that boxes say they left out. */
-  leftOut: number;
+  /** Number of lines that the boxes dropped to bound their logs, as they report it. */
+  droppedLines: number;
 }>;
 
-/** What made an answer late. */
+/** Why an answer was late. */
 export type Delay = "waiting" | "prompt" | "pause" | "repeat" | "server";
 
-/** How far a stream's move had come when its engine ended. */
+/** How far the move of a stream to another engine was when its engine ended. */
 export type MoveProgress =
-  /** Nobody was told that the engine would go. */
+  /** The end of the engine was not announced. */
   | "unannounced"
-  /** It was known to go, and no copy was through. */
+  /** The end was announced, but no copy of the stream's state was complete. */
   | "before_copy"
-  /** A copy was there, but the stream could not go on from it. */
+  /** A copy was complete, but the stream could not continue from it. */
   | "after_copy";
 
-/** The one cause that a request is counted under. */
+/** How a request ended and why; each request has exactly one cause. */
 export type Cause = Readonly<
   | { kind: "served" }
   | { kind: "late"; by: Delay }
-  /** The system's own answer, by the reason in its line. */
+  /** Refused by the box; `reason` is the one in the log line, or `untold` if it has none. */
   | { kind: "refused"; reason: string }
   | { kind: "server_failed"; how: "own_failure" | "answer_lost" }
   | { kind: "out_of_time" }
   | { kind: "engine_ended"; progress: MoveProgress }
-  /** The box took the stream for whole though bytes of an event were left whose end had not come. */
+  /** The stream ended in the middle of an event, and the box counted it as complete. */
   | { kind: "ended_within_event" }
-  /** The box ended with the request open. */
+  /** The box ended while the request was open. */
   | { kind: "box_ended" }
   | { kind: "client_left" }
-  /** Its caller sent it, and no box wrote of it. */
+  /** A caller sent the request, but no box logged it. */
   | { kind: "never_reached" }
-  /** The lines end first. */
+  /** The log stops before the request ended. */
   | { kind: "still_open" }
-  /** The lines do not tell. */
+  /** The box kept running, but never logged the end of the request. */
   | { kind: "unexplained" }
 >;
 
-/** One request, its kind and its cause. */
+/** A request with its route and its cause. */
 export type RequestAccount = Readonly<{
   request: string;
-  /** Name of its route; of a request without one, a stand-in. */
+  /** Name of its route; a placeholder if it has none. */
   route: string;
   cause: Cause;
-  /** Full seconds since the first line. */
+  /** Full seconds from the first log line of all boxes to the request's first line. */
   second: number;
 }>;
