--- a/packages/hunt/src/commands.ts
+++ b/packages/hunt/src/commands.ts
@@ -1,16 +1,16 @@
-/** What a schedule may do. */
+/** The commands of random schedules: calls, faults and configuration changes. */
 import fc from "fast-check";
 
-/** Boxes of the small world. */
-export const BOXES = 3;
+/** Number of boxes in the simulation. */
+export const BOX_COUNT = 3;
 
-/** Engines of the small world. */
-export const ENGINES = 2;
+/** Number of engines in the simulation. */
+export const ENGINE_COUNT = 2;
 
-const box = fc.nat(BOXES - 1);
-const engine = fc.nat(ENGINES - 1);
+const box = fc.nat(BOX_COUNT - 1);
+const engine = fc.nat(ENGINE_COUNT - 1);
 
-/** One command of a schedule. */
+/** Generates one command; a higher weight makes a kind more frequent. */
 export const COMMAND = fc.oneof(
   {
     weight: 6,
@@ -103,5 +103,5 @@
 /** One command of a schedule. */
 export type Command = typeof COMMAND extends fc.Arbitrary<infer T> ? T : never;
 
-/** A schedule. */
+/** Generates a schedule: commands that run one after the other. */
 export const SCHEDULE = fc.array(COMMAND, { maxLength: 40 });
--- a/packages/hunt/src/findCounterexample.ts
+++ b/packages/hunt/src/findCounterexample.ts
@@ -1,30 +1,33 @@
-/** Hunts for a schedule that breaks a promise. */
+/** Searches random schedules for one that breaks a promise of the system. */
 import fc from "fast-check";
 import { SCHEDULE, type Command } from "./commands.js";
 import { findBrokenPromise, type PromiseName } from "./promises.js";
-import { runSchedule } from "./world.js";
-import type { Variant } from "./worldTypes.js";
+import { runSchedule } from "./simulation.js";
+import type { Variant } from "./simulationTypes.js";
 
-/** A hunt. */
+/** Options of a search. */
 export type HuntOptions = Readonly<{
+  /** Seed of the random schedules. */
   seed: number;
+  /** How many schedules to run. */
   runs: number;
+  /** Replaces parts of the system by broken ones; the real parts are used without it. */
   variant?: Variant;
-  /** Looks at this promise alone. */
+  /** Checks only this promise; all are checked without it. */
   only?: PromiseName;
 }>;
 
-/** What a hunt found: a shrunk schedule and the promise that it breaks, or nothing. */
-export type Hunted =
+/** A shrunk schedule and the promise that it breaks; undefined if no schedule broke one. */
+export type Counterexample =
   Readonly<{ schedule: readonly Command[]; message: string }> | undefined;
 
-/** Runs schedules until one breaks a promise, and shrinks that one. */
+/** Runs random schedules until one breaks a promise, and shrinks that schedule. */
 export const findCounterexample = async ({
   seed,
   runs,
   variant,
   only,
-}: HuntOptions): Promise<Hunted> => {
+}: HuntOptions): Promise<Counterexample> => {
   const property = fc.asyncProperty(SCHEDULE, async (schedule) => {
     const broken = findBrokenPromise(await runSchedule(schedule, variant), only);
     if (broken) throw new Error(`${broken.promise}: ${broken.detail}`);
--- a/packages/hunt/src/gate.ts
+++ b/packages/hunt/src/gate.ts
@@ -1,25 +1,28 @@
-/** A gate around one box: while it is paused nothing reaches it; once it is killed nothing ever does. */
+/** Simulates pauses and crashes of one box by delaying or dropping every callback into it. */
 import type { Clock } from "@stairgauge/common";
 import type { EngineClient, LinkHandlers } from "@stairgauge/engines";
 import type { Platform, TableService } from "@stairgauge/stores";
 
-/** The gate of one box. */
+/** Controls whether callbacks of one box run. */
 export type Gate = Readonly<{
-  /** Runs now, later or never. */
+  /** Runs the callback at once if open, on `open` if paused, and never if killed. */
   run: (step: () => void) => void;
+  /** Holds callbacks back until `open`. */
   pause: () => void;
+  /** Runs the callbacks held back by a pause, in order. No effect on a killed gate. */
   open: () => void;
+  /** Drops all held and all future callbacks. */
   kill: () => void;
 }>;
 
 /** Creates an open gate. */
 export const createGate = (): Gate => {
   let state: "open" | "paused" | "dead" = "open";
-  let held: (() => void)[] = [];
+  let heldSteps: (() => void)[] = [];
   return {
     run: (step) => {
       if (state === "open") step();
-      if (state === "paused") held.push(step);
+      if (state === "paused") heldSteps.push(step);
     },
     pause: () => {
       if (state === "open") state = "paused";
@@ -27,18 +30,18 @@
     open: () => {
       if (state !== "paused") return;
       state = "open";
-      const waiting = held;
-      held = [];
-      for (const step of waiting) step();
+      const steps = heldSteps;
+      heldSteps = [];
+      for (const step of steps) step();
     },
     kill: () => {
       state = "dead";
-      held = [];
+      heldSteps = [];
     },
   };
 };
 
-/** A clock whose timers pass the gate. */
+/** Wraps a clock: its timers fire through the gate. */
 export const createGatedClock = (clock: Clock, gate: Gate): Clock => ({
   ...clock,
   setTimer: (delay, fire) => clock.setTimer(delay, () => gate.run(fire)),
@@ -54,7 +57,7 @@
   onEnd: (failure) => gate.run(() => handlers.onEnd(failure)),
 });
 
-/** An engine client whose answers pass the gate. */
+/** Wraps an engine client: its frames and answers arrive through the gate. */
 export const createGatedEngines = (client: EngineClient, gate: Gate): EngineClient => ({
   ...client,
   openStart: (address, request, handlers) =>
@@ -71,7 +74,7 @@
   writeBatch: (writes) => wrapPromise(gate, table.writeBatch(writes)),
 });
 
-/** A platform whose answers pass the gate. */
+/** Wraps a platform: its answers arrive through the gate. */
 export const createGatedPlatform = (platform: Platform, gate: Gate): Platform => ({
   ...platform,
   table: createGatedTable(platform.table, gate),
--- a/packages/hunt/src/huntMain.ts
+++ b/packages/hunt/src/huntMain.ts
@@ -1,11 +1,14 @@
 #!/usr/bin/env node
-/** `npm run hunt -- --seed N --runs N`: long hunts outside CI; prints a shrunk schedule that replays. */
+/**
+ * `npm run hunt -- --seed N --runs N`: runs many random schedules, for long searches outside CI. Prints a shrunk schedule
+ * that breaks a promise; `--replay FILE` runs such a schedule again.
+ */
 import { readFileSync } from "node:fs";
 import { command, number, option, optional, run, string } from "cmd-ts";
 import type { Command } from "./commands.js";
 import { findCounterexample } from "./findCounterexample.js";
 import { findBrokenPromise } from "./promises.js";
-import { runSchedule } from "./world.js";
+import { runSchedule } from "./simulation.js";
 
 const replaySchedule = async (file: string) => {
   const schedule = JSON.parse(readFileSync(file, "utf8")) as readonly Command[];
@@ -29,13 +32,13 @@
   },
   handler: async ({ seed, runs, replay }) => {
     if (replay !== undefined) return replaySchedule(replay);
-    const found = await findCounterexample({ seed, runs });
-    if (!found) {
+    const counterexample = await findCounterexample({ seed, runs });
+    if (!counterexample) {
       process.stdout.write(`${runs} schedules from seed ${seed}: no promise broken\n`);
       return;
     }
     process.stdout.write(
-      `seed ${seed}: ${found.message}\n${JSON.stringify(found.schedule)}\n`,
+      `seed ${seed}: ${counterexample.message}\n${JSON.stringify(counterexample.schedule)}\n`,
     );
     process.exitCode = 1;
   },
--- a/packages/hunt/src/promises.test.ts
+++ b/packages/hunt/src/promises.test.ts
@@ -1,15 +1,15 @@
-/** The promises over random schedules of faults, and proof that each check can fail. */
+/** Checks the promises over random schedules of faults, and that each check catches a system broken on purpose. */
 import { describe, expect, it } from "vitest";
 import type { GenerationId } from "@stairgauge/common";
 import type { EngineClient } from "@stairgauge/engines";
 import { findCounterexample } from "./findCounterexample.js";
 import type { PromiseName } from "./promises.js";
-import type { Variant } from "./worldTypes.js";
+import type { Variant } from "./simulationTypes.js";
 
 const TIMEOUT_MS = 300_000;
 const VARIANT_RUNS = 1_000;
 
-describe("the promises, under kills, pauses, cuts, stalls, outages and races", () => {
+describe("promises under kills, pauses, cut links, stalls, outages and races", () => {
   it.each([101, 102, 103, 104])(
     "hold over 500 schedules from seed %i",
     async (seed) => {
@@ -19,38 +19,38 @@
   );
 });
 
-/** Breaks the index check: each frame is relabelled as the next one, so repeats are delivered. */
+/** Disables the index check: each token frame gets the next index, so repeated tokens are delivered. */
 const wrapWithoutIndexCheck = (client: EngineClient): EngineClient => ({
   ...client,
   openStart: (address, request, handlers) => {
-    let next = 0;
+    let nextIndex = 0;
     return client.openStart(address, request, {
       ...handlers,
       onFrame: (frame) => {
-        if (frame.kind === "token") handlers.onFrame({ ...frame, index: next++ });
-        else if (frame.kind === "end") handlers.onFrame({ ...frame, tokens: next });
+        if (frame.kind === "token") handlers.onFrame({ ...frame, index: nextIndex++ });
+        else if (frame.kind === "end") handlers.onFrame({ ...frame, tokens: nextIndex });
         else handlers.onFrame(frame);
       },
     });
   },
 });
 
-/** Splices: where the old generation should be resumed, a new one is started and relabelled. */
+/** Starts a new generation under the old id where the old generation should be resumed. */
 const wrapSplicing = (client: EngineClient): EngineClient => {
-  const prompts = new Map<GenerationId, Parameters<EngineClient["openStart"]>[1]>();
+  const requests = new Map<GenerationId, Parameters<EngineClient["openStart"]>[1]>();
   return {
     ...client,
     openStart: (address, request, handlers) => {
-      prompts.set(request.generation, request);
+      requests.set(request.generation, request);
       return client.openStart(address, request, handlers);
     },
     openResume: (address, { generation, from }, handlers) => {
-      const request = prompts.get(generation);
+      const request = requests.get(generation);
       if (!request) return client.openResume(address, { generation, from }, handlers);
-      const other = `x${generation}` as GenerationId;
+      const newGeneration = `x${generation}` as GenerationId;
       return client.openStart(
         address,
-        { ...request, generation: other },
+        { ...request, generation: newGeneration },
         {
           ...handlers,
           onFrame: (frame) => {
@@ -64,7 +64,7 @@
   };
 };
 
-const BROKEN: readonly Readonly<{
+const BROKEN_VARIANTS: readonly Readonly<{
   name: string;
   promise: PromiseName;
   variant: Variant;
@@ -75,12 +75,12 @@
     variant: { wrapEngines: wrapWithoutIndexCheck },
   },
   {
-    name: "a splice where a generation should be resumed",
+    name: "a new generation spliced in where the old one should be resumed",
     promise: "every token once, in order, from one generation",
     variant: { wrapEngines: wrapSplicing },
   },
   {
-    name: "a claim after the dispatch",
+    name: "a call sent before it is claimed",
     promise: "a call not to be repeated runs at most once",
     variant: {
       wrapGuard: (guard) => ({
@@ -93,7 +93,7 @@
     },
   },
   {
-    name: "answers kept without their content's identity",
+    name: "answers stored without the hash of the request content",
     promise: "everyone gets the answer to their own request",
     variant: {
       wrapGuard: (guard) => ({
@@ -103,7 +103,7 @@
     },
   },
   {
-    name: "not run said of every failure",
+    name: "every failure reported as not run",
     promise: "not run is true",
     variant: {
       wrapSink: (sink) => ({
@@ -113,33 +113,33 @@
     },
   },
   {
-    name: "an answer that is never given",
+    name: "failures that are never reported to the caller",
     promise: "everyone gets a final answer",
     variant: { wrapSink: (sink) => ({ ...sink, onFailed: () => undefined }) },
   },
   {
-    name: "a mark of leaving that is not taken",
+    name: "boxes that ignore leaving marks",
     promise: "a leaving backend server gets no new work after 3 s",
     variant: { ignoresMarks: true },
   },
   {
-    name: "a watcher that forgets its version",
+    name: "a head watcher that loses its version",
     promise: "an accepted bundle never reverts",
     variant: { adoptsAnyVersion: true },
   },
 ];
 
-describe("a broken variant is caught:", () => {
-  it.each(BROKEN)(
+describe("findCounterexample catches", () => {
+  it.each(BROKEN_VARIANTS)(
     "$name",
     async ({ promise, variant }) => {
-      const found = await findCounterexample({
+      const counterexample = await findCounterexample({
         seed: 7,
         runs: VARIANT_RUNS,
         variant,
         only: promise,
       });
-      expect(found?.message).toContain(promise);
+      expect(counterexample?.message).toContain(promise);
     },
     TIMEOUT_MS,
   );
--- a/packages/hunt/src/promises.ts
+++ b/packages/hunt/src/promises.ts
@@ -1,21 +1,23 @@
-/** The brief's promises, each as a check over the history of a schedule. */
+/** The promises to callers and operators, each as a check of the history of a schedule. */
 import { generateToken } from "@stairgauge/standins";
-import type { History, StreamRecord } from "./worldTypes.js";
+import type { History, StreamRecord } from "./simulationTypes.js";
 
+/** An engine may receive new work for at most this long after it was marked as leaving. */
 const LEAVING_BOUND_MS = 3_000;
 
-/** A promise by its name, and how a history breaks it. */
+/** Name of a broken promise, and how the history breaks it. */
 export type BrokenPromise = Readonly<{ promise: string; detail: string }>;
 
+/** Returns how the history breaks the promise; undefined if it does not. */
 type Check = (history: History) => string | undefined;
 
 const checkTokens = (record: StreamRecord): string | undefined => {
   const { tokens, continuation, ending, length } = record;
   if (tokens.length > 0 && !continuation) return undefined;
-  const naive = tokens.map((_, i) =>
+  const expected = tokens.map((_, i) =>
     continuation ? generateToken(continuation.generation, i) : "",
   );
-  if (tokens.join("|") !== naive.join("|"))
+  if (tokens.join("|") !== expected.join("|"))
     return `${record.id}: tokens of no one generation`;
   if (ending === "whole" && tokens.length !== length) {
     return `${record.id}: ended whole with ${tokens.length} of ${length} tokens`;
@@ -62,8 +64,8 @@
       : undefined,
   );
 
-const checkLeaving: Check = ({ leavings, starts }) =>
-  findFirst(leavings, ({ engine, from, until }) => {
+const checkLeaving: Check = ({ leavingPeriods, starts }) =>
+  findFirst(leavingPeriods, ({ engine, from, until }) => {
     const late = starts.find(
       (start) =>
         start.engine === engine && start.at > from + LEAVING_BOUND_MS && start.at < until,
@@ -71,9 +73,9 @@
     return late && `engine ${engine}: new work ${late.at - from} ms after its mark`;
   });
 
-const checkNeverReverts: Check = ({ adoptions }) => {
+const checkNeverReverts: Check = ({ adoptedHeads }) => {
   const digests = new Map<number, string>();
-  return findFirst(adoptions, (heads) =>
+  return findFirst(adoptedHeads, (heads) =>
     findFirst(heads, (head) => {
       const before = heads[heads.indexOf(head) - 1];
       if (before && before.version >= head.version)
@@ -105,10 +107,10 @@
   "an accepted bundle is in force everywhere": checkInForce,
 } as const satisfies Record<string, Check>;
 
-/** Name of a promise that is checked. */
+/** Name of a checked promise. */
 export type PromiseName = keyof typeof CHECKS;
 
-/** Finds the first promise that a history breaks; `only` looks at that one alone. */
+/** Returns the first promise that the history breaks, or undefined. With `only`, checks just that promise. */
 export const findBrokenPromise = (
   history: History,
   only?: PromiseName,
--- a/packages/hunt/src/worldBox.ts
+++ b/packages/hunt/src/simulatedBox.ts
@@ -1,4 +1,4 @@
-/** One box of the small world: a real relay, guard and watcher behind a gate. */
+/** One simulated box: a real relay, guard and head watcher behind a gate. */
 import { indexBundle, type BundleHead, type TrustedOperator } from "@stairgauge/bundle";
 import { createOnceGuard, createWriteBatcher, type OnceGuard } from "@stairgauge/claims";
 import {
@@ -19,7 +19,7 @@
   createGatedPlatform,
   type Gate,
 } from "./gate.js";
-import type { Variant } from "./worldTypes.js";
+import type { Variant } from "./simulationTypes.js";
 
 const RESUME_GRACE_MS = 20_000 as Ms;
 const POLL_MS = 1_000 as Ms;
@@ -27,32 +27,33 @@
 const LOGGER = createLogger({ level: "silent", format: "json", base: {} });
 const METRICS = createMetrics();
 
-/** A box of the small world. */
-export type WorldBox = Readonly<{
+/** One run of a simulated box. */
+export type SimulatedBox = Readonly<{
   gate: Gate;
   relay: Relay;
   guard: OnceGuard;
+  /** Heads that this run adopted, in order. */
   adopted: readonly BundleHead[];
-  /** Tells the box that an engine leaves, or does no longer. */
+  /** Sets or clears the leaving mark of an engine at this box. */
   mark: (engine: number, isLeaving: boolean) => void;
 }>;
 
-/** What a box is made of. */
-export type WorldBoxOptions = Readonly<{
+/** Parts and settings of a simulated box. */
+export type SimulatedBoxOptions = Readonly<{
   clock: Clock;
   engines: EngineClient;
   platform: Platform;
   trusted: readonly TrustedOperator[];
   variant: Variant;
-  /** Receives each head that the box adopts. */
+  /** The box appends each head that it adopts. */
   adopted: BundleHead[];
   seed: number;
-  /** Engines that are marked when the box starts. */
+  /** Lists the engines that are leaving; their marks are set again on each adoption. */
   listLeaving: () => readonly number[];
 }>;
 
-/** Starts a box with empty memory. */
-export const createWorldBox = (options: WorldBoxOptions): WorldBox => {
+/** Starts a box without any state from before. */
+export const createSimulatedBox = (options: SimulatedBoxOptions): SimulatedBox => {
   const { variant, adopted } = options;
   const gate = createGate();
   const clock = createGatedClock(options.clock, gate);
--- a/packages/hunt/src/world.ts
+++ b/packages/hunt/src/simulation.ts
@@ -1,7 +1,6 @@
 /**
- * A small world on a virtual clock: real relays, guards and watchers as boxes, stand-in engines and
- * platform, and callers that remember all that they were told. No cluster: only what the promises
- * can be seen by.
+ * Simulation on a virtual clock: boxes with real relays, guards and head watchers, stand-in engines and platform, and
+ * callers that record everything they receive. It starts no processes and contains only what the promises need.
  */
 import { indexBundle, type Bundle, type BundleHead } from "@stairgauge/bundle";
 import {
@@ -27,27 +26,38 @@
   signExampleBundle,
 } from "@stairgauge/standins";
 import type { Continuation } from "@stairgauge/streams";
-import { BOXES, ENGINES, type Command } from "./commands.js";
-import { createWorldBox, type WorldBox } from "./worldBox.js";
-import type { History, OnceRecord, StreamRecord, Variant } from "./worldTypes.js";
+import { BOX_COUNT, ENGINE_COUNT, type Command } from "./commands.js";
+import { createSimulatedBox, type SimulatedBox } from "./simulatedBox.js";
+import type { History, OnceRecord, StreamRecord, Variant } from "./simulationTypes.js";
 
 const WORKSPACE = "kerlann" as WorkspaceName;
 const WARM_UP_MS = 2_000 as Ms;
-const REST_MS = 60_000 as Ms;
+const SETTLE_MS = 60_000 as Ms;
 
-/** Engines that are quick, so that schedules of seconds see whole answers. */
-const ENGINE = { ...EXAMPLE_ENGINE, stepBaseMs: 20, memoryTokens: 400, maxRunning: 6 };
+/** Fast engines, so that answers finish within schedules of a few seconds. */
+const FAST_ENGINE = {
+  ...EXAMPLE_ENGINE,
+  stepBaseMs: 20,
+  memoryTokens: 400,
+  maxRunning: 6,
+};
 
+/** Address of an engine by its index. */
 const toAddress = (engine: number): string => `127.0.0.1:${engine + 1}`;
 
 const buildVariant = (variant: number): Bundle => {
-  const addresses = Array.from({ length: ENGINES }, (_, engine) => toAddress(engine));
+  const addresses = Array.from({ length: ENGINE_COUNT }, (_, engine) =>
+    toAddress(engine),
+  );
   const bundle = buildExampleBundle({ engines: addresses, services: ["127.0.0.1:99"] });
   const objectives = { ...bundle.objectives, stallWeight: variant };
   return { ...bundle, objectives };
 };
 
-/** Runs one schedule and returns its history. */
+/**
+ * Runs one schedule, then lifts all faults and lets everything finish. Returns the history. `variant` replaces parts of
+ * the system by broken ones.
+ */
 export const runSchedule = async (
   commands: readonly Command[],
   variant: Variant = {},
@@ -61,13 +71,13 @@
   const onceCalls: OnceRecord[] = [];
   const runs = new Map<string, number>();
   const starts: { prompt: string; engine: number; at: number }[] = [];
-  const leavings: { engine: number; from: number; until: number }[] = [];
-  const adoptions: BundleHead[][] = [];
-  let incarnation = 0;
+  const leavingPeriods: { engine: number; from: number; until: number }[] = [];
+  const adoptedHeads: BundleHead[][] = [];
+  let boxesCreated = 0;
 
   const createEngine = (engine: number) => {
     const host = createEngineHost({
-      profile: ENGINE,
+      profile: FAST_ENGINE,
       models: ["redac-llm"],
       checksOrders: true,
       seed: engine,
@@ -81,20 +91,20 @@
     engines.setHost(toAddress(engine), { ...host, start });
   };
 
-  const createBox = (): WorldBox => {
-    incarnation += 1;
+  const createBox = (): SimulatedBox => {
+    boxesCreated += 1;
     const adopted: BundleHead[] = [];
-    adoptions.push(adopted);
+    adoptedHeads.push(adopted);
     const listLeaving = () =>
-      leavings.filter(({ until }) => until === Infinity).map((one) => one.engine);
-    return createWorldBox({
+      leavingPeriods.filter(({ until }) => until === Infinity).map((one) => one.engine);
+    return createSimulatedBox({
       clock,
       engines: engines.client,
       platform,
       trusted,
       variant,
       adopted,
-      seed: incarnation,
+      seed: boxesCreated,
       listLeaving,
     });
   };
@@ -104,28 +114,28 @@
     bundle: buildVariant(0),
   });
 
-  /** A sink for one connection of a caller: what comes after it closed is not heard. */
+  /** Creates the sink of one connection of a caller. It ignores what arrives after the connection closed. */
   const createSink = (record: StreamRecord): AnswerSink => {
     record.connection += 1;
-    const own = record.connection;
-    const isHeard = () => record.ending === "open" && record.connection === own;
+    const connection = record.connection;
+    const isCurrent = () => record.ending === "open" && record.connection === connection;
     const finish = (ending: StreamRecord["ending"], outcome?: Outcome) => {
-      if (!isHeard()) return;
+      if (!isCurrent()) return;
       record.ending = ending;
       record.outcome = outcome;
     };
     return {
       onToken: (tokenIndex, text, { server, generation }) => {
-        if (!isHeard()) return true;
+        if (!isCurrent()) return true;
         record.tokens.push(text);
         record.continuation = { server, generation, nextIndex: tokenIndex + 1 };
         return true;
       },
       onDiscard: () => {
-        if (isHeard()) record.tokens.length = 0;
+        if (isCurrent()) record.tokens.length = 0;
       },
       onEnd: (_end, { server, generation }) => {
-        if (!isHeard()) return;
+        if (!isCurrent()) return;
         record.continuation = { server, generation, nextIndex: record.tokens.length };
         finish("whole");
       },
@@ -135,7 +145,7 @@
   };
 
   const runStream = (
-    box: WorldBox,
+    box: SimulatedBox,
     record: StreamRecord,
     continuation?: Continuation,
   ) => {
@@ -168,7 +178,7 @@
     return found[which % Math.max(1, found.length)];
   };
 
-  const callOnce = (box: WorldBox, command: Extract<Command, { kind: "once" }>) => {
+  const callOnce = (box: SimulatedBox, command: Extract<Command, { kind: "once" }>) => {
     const { key, content, how } = command;
     const record: OnceRecord = {
       key,
@@ -209,7 +219,7 @@
     );
   };
 
-  /** An operator signs a bundle and tries to make it the next version. */
+  /** Signs a bundle as an operator and tries to store it as the next version. */
   const writeHead = async (bundleVariant: number) => {
     const row = await platform.table.read(HEAD_ROW);
     if (row.err || !row.val) return;
@@ -223,23 +233,27 @@
   };
 
   const setLeaving = (engine: number, isLeaving: boolean) => {
-    const open = leavings.find((one) => one.engine === engine && one.until === Infinity);
-    if (isLeaving && !open) leavings.push({ engine, from: clock.now(), until: Infinity });
+    const open = leavingPeriods.find(
+      (one) => one.engine === engine && one.until === Infinity,
+    );
+    if (isLeaving && !open)
+      leavingPeriods.push({ engine, from: clock.now(), until: Infinity });
     if (!isLeaving && open) open.until = clock.now();
     for (const { gate, mark } of boxes) gate.run(() => mark(engine, isLeaving));
   };
 
-  const stopBox = (which: number) => {
-    const dead = boxes[which]!;
-    dead.gate.kill();
-    dead.relay.stop();
+  const restartBox = (which: number) => {
+    const killed = boxes[which]!;
+    killed.gate.kill();
+    killed.relay.stop();
     for (const record of streams) {
-      if (record.ending === "open" && owners.get(record) === dead) record.ending = "left";
+      if (record.ending === "open" && owners.get(record) === killed)
+        record.ending = "left";
     }
     boxes[which] = createBox();
   };
 
-  const owners = new Map<StreamRecord, WorldBox>();
+  const owners = new Map<StreamRecord, SimulatedBox>();
 
   const apply = (command: Command): void => {
     switch (command.kind) {
@@ -282,7 +296,7 @@
       case "once":
         return callOnce(boxes[command.box]!, command);
       case "killBox":
-        return stopBox(command.box);
+        return restartBox(command.box);
       case "pauseBox":
         return boxes[command.box]!.gate.pause();
       case "openBox":
@@ -311,23 +325,23 @@
     }
   };
 
-  for (let engine = 0; engine < ENGINES; engine += 1) createEngine(engine);
-  const boxes = Array.from({ length: BOXES }, createBox);
+  for (let engine = 0; engine < ENGINE_COUNT; engine += 1) createEngine(engine);
+  const boxes = Array.from({ length: BOX_COUNT }, createBox);
   await advanceSettled(clock, WARM_UP_MS);
   for (const command of commands) {
     apply(command);
     await advanceSettled(clock, (command.kind === "wait" ? command.ms : 1) as Ms);
   }
 
-  // The world comes to rest: every fault is lifted, and all that runs may end.
+  // Lift every fault and let all that runs finish.
   for (const { gate } of boxes) gate.open();
   model.setMode({ isDown: false, delayMs: 0, answersToLose: 0 });
-  for (let engine = 0; engine < ENGINES; engine += 1) {
+  for (let engine = 0; engine < ENGINE_COUNT; engine += 1) {
     engines.setStalled(toAddress(engine), false);
     createEngine(engine);
     setLeaving(engine, false);
   }
-  await advanceSettled(clock, REST_MS);
+  await advanceSettled(clock, SETTLE_MS);
   for (const { relay } of boxes) relay.stop();
   const row = model.readRow(HEAD_ROW);
   return {
@@ -335,8 +349,8 @@
     onceCalls,
     runs,
     starts,
-    leavings,
-    adoptions,
+    leavingPeriods,
+    adoptedHeads,
     finalHead: row ? (JSON.parse(row.value) as BundleHead).version : 0,
     finalVersions: boxes.map(({ adopted }) => adopted.at(-1)?.version ?? 0),
   };
