--- a/apps/cli/src/bundleSteps.ts
+++ b/apps/cli/src/bundleSteps.ts
@@ -1,4 +1,4 @@
-/** What `stairgauge bundle …` does. */
+/** The steps of the `stairgauge bundle` subcommands. */
 import diff from "microdiff";
 import {
   computeDigest,
@@ -16,7 +16,7 @@
 type Step = Promise<Result<Output, CommandFailure>>;
 
 const DIGEST_PATTERN = /^[0-9a-f]{64}$/;
-const SHORT_DIGEST = 12;
+const SHORT_DIGEST_LENGTH = 12;
 
 const toOutput = (json: unknown, text: string): Output => ({ json, text });
 
@@ -25,7 +25,7 @@
   return text.err ? text : parseBundle(text.val);
 };
 
-/** Checks a file. */
+/** Validates a bundle file and shows its digest. */
 export const validateBundle = (path: string): Result<Output, CommandFailure> =>
   readBundleFile(path).map((bundle) => {
     const digest = computeDigest(renderCanonical(bundle));
@@ -34,7 +34,7 @@
     return toOutput({ valid: true, digest }, `valid: ${counts}\ndigest ${digest}\n`);
   });
 
-/** A bundle by file, by digest, or the one in force (`active`). */
+/** Reads a bundle by digest, by file, or the one that the stored head names (`active`). */
 const findBundle = async (
   site: Site,
   name: string,
@@ -49,7 +49,7 @@
 const renderValue = (value: unknown): string =>
   value === undefined ? "-" : JSON.stringify(value).slice(0, 60);
 
-/** Shows what changes from one bundle to another. */
+/** Shows the differences between two bundles; each is a file, a digest or `active`. */
 export const diffBundles = (settings: string, from: string, to: string): Step =>
   withSite(settings, async (site) => {
     const before = await findBundle(site, from);
@@ -67,21 +67,21 @@
     );
   });
 
-/** Proposes a file's bundle. */
+/** Proposes the bundle of a file as the given operator. */
 export const proposeBundle = (settings: string, path: string, operator: string): Step =>
   withSite(settings, async ({ flows }) => {
     const bundle = readBundleFile(path);
     if (bundle.err) return bundle;
     const proposal = await flows.propose(bundle.val, operator);
-    return proposal.map((made) =>
+    return proposal.map((stored) =>
       toOutput(
-        made,
-        `proposed by ${made.proposer}, ${made.approvals.length} approvals\ndigest ${made.digest}\n`,
+        stored,
+        `proposed by ${stored.proposer}, ${stored.approvals.length} approvals\ndigest ${stored.digest}\n`,
       ),
     );
   });
 
-/** Approves a proposed bundle. */
+/** Signs a proposed bundle with the operator's private key and stores the approval. */
 export const approveBundle = (options: {
   readonly settings: string;
   readonly digest: string;
@@ -99,7 +99,7 @@
     });
   });
 
-/** Rolls an approved bundle out. */
+/** Makes an approved bundle the next version. */
 export const rollOutBundle = (settings: string, digest: string, operator: string): Step =>
   withSite(settings, async ({ flows }) => {
     const head = await flows.rollOut(digest, operator);
@@ -117,7 +117,7 @@
   return head.val ? Ok(head.val) : Err({ kind: "no_bundle" });
 };
 
-/** Says which version is the head, and on how many boxes which version is in force. */
+/** Shows the version of the stored head, and how many boxes run each version. */
 export const showStatus = (settings: string): Step =>
   withSite(settings, async (site) => {
     const head = await readHead(site);
@@ -133,11 +133,11 @@
       "version in force": inForce,
       boxes: count,
     }));
-    const text = `head: version ${version} (${digest.slice(0, SHORT_DIGEST)}), rolled out by ${by}\n`;
+    const text = `head: version ${version} (${digest.slice(0, SHORT_DIGEST_LENGTH)}), rolled out by ${by}\n`;
     return Ok(toOutput({ head: head.val, boxes }, text + renderTable(rows)));
   });
 
-/** Lists the versions so far. */
+/** Lists the current version and the past ones, newest first. */
 export const showHistory = (settings: string): Step =>
   withSite(settings, async (site) => {
     const head = await readHead(site);
@@ -150,7 +150,7 @@
     return Ok(toOutput(rows, renderTable(rows)));
   });
 
-/** Shows a bundle's content: `active`, a digest or a file. */
+/** Shows the content of a bundle; `name` is `active`, a digest or a file. */
 export const showBundle = (settings: string, name: string): Step =>
   withSite(settings, async (site) => {
     const bundle = await findBundle(site, name);
--- a/apps/cli/src/createKeys.ts
+++ b/apps/cli/src/createKeys.ts
@@ -1,11 +1,11 @@
-/** Makes keys: for workspaces, and for operators who sign. */
+/** Creates API keys for workspaces and signing keys for operators. */
 import { generateKeyPairSync, randomBytes } from "node:crypto";
 import { hashKey } from "@stairgauge/bundle";
 import type { Output } from "./output.js";
 
 const KEY_BYTES = 32;
 
-/** A workspace's key, and the hash that goes into the bundle. */
+/** Creates a random workspace key and its hash for the bundle. */
 export const createWorkspaceKey = (): Output => {
   const key = `sg-${randomBytes(KEY_BYTES).toString("base64url")}`;
   const keyHash = hashKey(key);
@@ -13,7 +13,7 @@
   return { json: { key, keyHash }, text };
 };
 
-/** An operator's key pair, PEM. */
+/** Creates an operator's Ed25519 key pair in PEM format. */
 export const createOperatorKey = (): Output => {
   const pair = generateKeyPairSync("ed25519", {
     publicKeyEncoding: { type: "spki", format: "pem" },
--- a/apps/cli/src/diagnose.ts
+++ b/apps/cli/src/diagnose.ts
@@ -1,4 +1,4 @@
-/** `explain` and `losses`: from boxes' log files to causes. */
+/** The `explain` and `losses` commands: read log files of boxes and show why requests ended as they did. */
 import { writeFileSync } from "node:fs";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import {
@@ -17,11 +17,11 @@
 import { readText } from "./openSite.js";
 import { renderTable, type Output } from "./output.js";
 
-type Read = Readonly<{ timeline: Timeline; faults: FaultCounts }>;
+type LogContent = Readonly<{ timeline: Timeline; faults: FaultCounts }>;
 
 const readTimeline = async (
   paths: readonly string[],
-): Promise<Result<Read, CommandFailure>> => {
+): Promise<Result<LogContent, CommandFailure>> => {
   const read = await readLogs(paths);
   if (read.err) return Err(read.val);
   const { lines, faults } = read.val;
@@ -29,8 +29,8 @@
   return Ok({ timeline: buildTimeline(lines), faults });
 };
 
-/** What was not used, a line each; nothing when all was. */
-const describeGaps = ({ timeline, faults }: Read): string => {
+/** Returns one warning line for each kind of log lines that are missing or unusable; empty if there are none. */
+const describeGaps = ({ timeline, faults }: LogContent): string => {
   const gaps = [
     [faults.broken_object, "lines are cut off or broken"],
     [faults.foreign_object, "lines are no lines of a box"],
@@ -60,7 +60,7 @@
   return `${request} at ${box}: ${describeCause(cause)}\n${rows.join("")}`;
 };
 
-/** Explains one request. */
+/** Shows the log lines and the cause of one request. */
 export const explainLogs = async (
   request: string,
   paths: readonly string[],
@@ -73,14 +73,15 @@
   return Ok({ json: { explanations, faults: read.val.faults }, text });
 };
 
-/** How losses are summed up. */
+/** Options of the `losses` command. */
 export type LossOptions = Readonly<{
+  /** Paths of log files; `-` is standard input. */
   logs: readonly string[];
-  /** Where the picture goes. */
+  /** Path of the SVG plot to write; undefined for none. */
   plot: string | undefined;
-  /** File with the ids that callers sent, one a line. */
+  /** Path of a file with the ids that callers sent, one per line; undefined for none. */
   asked: string | undefined;
-  /** What a request is worth, as ROUTE=NUMBER. */
+  /** What one request of a route is worth, as ROUTE=NUMBER. */
   worth: readonly string[];
 }>;
 
@@ -113,7 +114,7 @@
   }
 };
 
-/** Sums up all requests by route and cause. */
+/** Counts all requests by route and cause, and writes the plot if asked to. */
 export const sumUpLosses = async (
   options: LossOptions,
 ): Promise<Result<Output, CommandFailure>> => {
--- a/apps/cli/src/exitCodes.ts
+++ b/apps/cli/src/exitCodes.ts
@@ -1,19 +1,19 @@
 /** Exit codes of the command line; docs/operators/command-line.md lists them. */
 
-/** The command did what it says. */
+/** The command succeeded. */
 export const EXIT_OK = 0;
 
-/** The command failed for a reason that it names. */
+/** The command failed; the printed message says why. */
 export const EXIT_FAILED = 1;
 
-/** Wrong arguments, settings or files. */
+/** Invalid arguments, settings or files. */
 export const EXIT_USAGE = 2;
 
-/** Another operator's roll-out came first. */
+/** Another operator rolled out a bundle first. */
 export const EXIT_OVERTAKEN = 3;
 
-/** The platform's store gave no answer. */
+/** The platform's store did not answer; nothing was changed. */
 export const EXIT_UNAVAILABLE = 4;
 
-/** The step may or may not have taken effect. */
+/** The store's answer was lost; the step may or may not have taken effect. */
 export const EXIT_UNKNOWN = 5;
--- a/apps/cli/src/failures.ts
+++ b/apps/cli/src/failures.ts
@@ -1,4 +1,4 @@
-/** Every failure as a sentence that says what to do, and its exit code. */
+/** Messages and exit codes for all failures of commands. */
 import { assertNever } from "@stairgauge/common";
 import type { FaultCounts } from "@stairgauge/diagnosis";
 import type { OperatorFailure } from "@stairgauge/rollout";
@@ -22,7 +22,7 @@
   | { kind: "unwritable_file"; path: string; detail: string }
 >;
 
-/** A failure as it is shown. */
+/** A failure as a message for operators, with the exit code. */
 export type ShownFailure = Readonly<{ sentence: string; exitCode: number }>;
 
 const show = (exitCode: number, sentence: string): ShownFailure => ({
@@ -30,7 +30,7 @@
   exitCode,
 });
 
-/** Describes a failure for people. */
+/** Returns the message and the exit code for a failure. */
 export const describeFailure = (failure: CommandFailure): ShownFailure => {
   switch (failure.kind) {
     case "store_unavailable":
--- a/apps/cli/src/main.test.ts
+++ b/apps/cli/src/main.test.ts
@@ -1,4 +1,4 @@
-/** The command line as a process, before the stand-in platform and a box. */
+/** Runs the command line as a process against a stand-in platform and one box. */
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -56,7 +56,7 @@
 describe("stairgauge", () => {
   const withSettings = (...args: string[]) => [...args, "--settings", toPath("cli.yaml")];
 
-  it("brings a bundle from proposal to force", async () => {
+  it("proposes, approves and rolls out a bundle until it is in force", async () => {
     const { digest } = await runJson<{ digest: string }>(
       withSettings("bundle", "propose", toPath("bundle.yaml"), "--as", "ann"),
     );
@@ -93,7 +93,7 @@
     expect((await runMain(withSettings("boxes"))).output).toContain("rennes-a");
   });
 
-  it("names every fault of a bundle, and exits with 2", async () => {
+  it("validate reports a fault of a bundle, and exits with 2 on invalid input", async () => {
     const broken = await runMain(["bundle", "validate", toPath("broken.yaml")]);
     expect(broken.code).toBe(2);
     expect(broken.output).toContain("colour");
@@ -104,12 +104,12 @@
     expect(await runMain(["bundle", "nonsense"])).toMatchObject({ code: 2 });
   });
 
-  it("makes keys whose hash the bundle takes", async () => {
+  it("keys create returns a key hash in the format of the bundle", async () => {
     const { keyHash } = await runJson<{ keyHash: string }>(["keys", "create"]);
     expect(keyHash).toMatch(/^sha256:[0-9a-f]{64}$/);
   });
 
-  it("sums up a box's decision lines", async () => {
+  it("decisions summarizes the decision lines of a box", async () => {
     const lines = [
       { decision: "placed", reason: "least_busy", request: "a", waited: 5 },
       { decision: "placed", reason: "least_busy", request: "b", waited: 7 },
@@ -121,7 +121,7 @@
     expect(output).toMatch(/^refused +queue_full +1 +1/m);
   });
 
-  describe("on the logs of boxes", () => {
+  describe("with log files of boxes", () => {
     beforeAll(() => {
       const lines = [
         { box: "a", at: 0, time: 500, event: "starting" },
@@ -139,7 +139,7 @@
       writeFileSync(toPath("a.log"), [...lines, '{"box":"a","at":9'].join("\n"));
     });
 
-    it("explains one request, and says which id it does not know", async () => {
+    it("explain shows the cause of a request, and fails for an id that no line contains", async () => {
       const known = await runMain(["explain", "r1", toPath("a.log")]);
       expect(known).toMatchObject({ code: 0 });
       expect(known.output).toContain("r1 at a: box ended");
@@ -149,7 +149,7 @@
       expect(unknown.output).toContain("No line names r9");
     });
 
-    it("sums losses up, with what callers sent, what routes are worth, and a picture", async () => {
+    it("losses counts requests with sent ids and worth of routes, and writes a plot", async () => {
       writeFileSync(toPath("asked"), "r1\nr2\nr3\n");
       const args = ["--asked", toPath("asked"), "--worth", "draft=130"];
       const plot = ["--plot", toPath("losses.svg")];
@@ -177,7 +177,7 @@
       expect(ended.output).toContain(text);
     });
 
-    it("says that a file is no box's log, or is not there", async () => {
+    it("fails for a file that is not the log of a box, and for a missing file", async () => {
       const foreign = await runMain(["losses", toPath("asked")]);
       expect(foreign).toMatchObject({ code: 1 });
       expect(foreign.output).toContain("3 lines without JSON");
--- a/apps/cli/src/main.ts
+++ b/apps/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `stairgauge`: the operators' command line. */
+/** `stairgauge`, the command line for operators. */
 import { readFileSync } from "node:fs";
 import {
   command,
@@ -233,6 +233,6 @@
   (into === "stdout" ? process.stdout : process.stderr).write(`${message}\n`);
   process.exitCode = exitCode === 0 ? EXIT_OK : EXIT_USAGE;
 } else {
-  // NOTE: help has printed itself and hands back nothing to wait for.
+  // NOTE: cmd-ts returns no value after it printed the help.
   await (result.value.value as Readonly<{ value: unknown }> | undefined)?.value;
 }
--- a/apps/cli/src/openSite.ts
+++ b/apps/cli/src/openSite.ts
@@ -1,4 +1,4 @@
-/** Reads the command line's settings and opens the site's platform. */
+/** Reads the settings of the command line and connects to the platform of the site. */
 import { readFileSync } from "node:fs";
 import {
   createSystemClock,
@@ -16,14 +16,14 @@
 } from "@stairgauge/settings";
 import type { CommandFailure } from "./failures.js";
 
-/** A site as operators reach it. */
+/** Settings and operations of a site; `close` disconnects from its platform. */
 export type Site = Readonly<{
   settings: CliSettings;
   flows: OperatorFlows;
   close: () => Promise<void>;
 }>;
 
-/** Reads a text file. */
+/** Reads a text file; fails with `unreadable_file`. */
 export const readText = (path: string): Result<string, CommandFailure> => {
   try {
     return Ok(readFileSync(path, "utf8"));
@@ -33,7 +33,7 @@
   }
 };
 
-/** Opens the site that a settings file names. */
+/** Opens the site that the settings file describes. */
 export const openSite = (path: string): Result<Site, CommandFailure> => {
   const text = readText(path);
   if (text.err) return text;
@@ -59,7 +59,7 @@
   return Ok({ settings, flows, close: platform.close });
 };
 
-/** Runs a step on a site and closes it. */
+/** Opens a site, runs the step and closes the site, also if the step fails. */
 export const withSite = async <T>(
   path: string,
   run: (site: Site) => Promise<Result<T, CommandFailure>>,
--- a/apps/cli/src/output.ts
+++ b/apps/cli/src/output.ts
@@ -1,14 +1,14 @@
-/** Prints results: tables for people, JSON for programs. */
+/** Prints results of commands as text or JSON. */
 import type { Result } from "@stairgauge/common";
 import { EXIT_OK } from "./exitCodes.js";
 import { describeFailure, type CommandFailure } from "./failures.js";
 
-/** A row of a table. */
+/** One table row: cell values by column title. */
 export type Row = Readonly<Record<string, string | number | boolean | undefined>>;
 
 const COLUMN_GAP = 2;
 
-/** Renders rows as columns under the first row's keys. */
+/** Renders a text table; the keys of the first row are the column titles. */
 export const renderTable = (rows: readonly Row[]): string => {
   const [first] = rows;
   if (!first) return "(none)\n";
@@ -25,10 +25,10 @@
   return `${[columns, ...cells].map(renderRow).join("\n")}\n`;
 };
 
-/** What a command shows. */
+/** Result of a command: a value for `--json`, and a text. */
 export type Output = Readonly<{ json: unknown; text: string }>;
 
-/** Prints a command's result and sets the exit code. */
+/** Prints the result of a command and sets the exit code. Failures go to standard error, or as JSON to standard output. */
 export const printResult = (
   result: Result<Output, CommandFailure>,
   options: Readonly<{ json: boolean }>,
--- a/apps/cli/src/readBoxes.ts
+++ b/apps/cli/src/readBoxes.ts
@@ -1,9 +1,9 @@
-/** Asks boxes on their operators' ports how they are. */
+/** Reads the status of boxes from their operators' ports. */
 import { Agent } from "undici";
 
 const ANSWER_TIMEOUT_MS = 2_000;
 
-/** A box as it answers, or does not. */
+/** Status of a box; only `address` is set if the box did not answer. */
 export type BoxStatus = Readonly<{
   address: string;
   box?: string;
@@ -13,7 +13,7 @@
   isStopping?: boolean;
 }>;
 
-/** Reads the status of every box; one that gives no answer has only its address. */
+/** Reads the status of all boxes at once. */
 export const readBoxes = async (
   addresses: readonly string[],
 ): Promise<readonly BoxStatus[]> => {
--- a/apps/cli/src/sumUpDecisions.ts
+++ b/apps/cli/src/sumUpDecisions.ts
@@ -1,6 +1,7 @@
-/** Sums up decision log lines: why requests waited, moved or were refused. */
+/** Summarizes decision log lines: why requests waited, moved or were refused. */
 import { renderTable, type Output } from "./output.js";
 
+/** The fields of a decision log line that are used; `waited` is in milliseconds. */
 type DecisionLine = Readonly<{
   decision: string;
   reason?: string;
@@ -25,7 +26,7 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))];
 };
 
-/** Sums the lines up; lines of other kinds are passed over. */
+/** Counts decision lines by decision and reason; other lines are ignored. */
 export const sumUpDecisions = (text: string): Output => {
   const counts = new Map<string, Count>();
   for (const line of text.split("\n")) {
