--- a/packages/measure/src/benchForwardMain.ts
+++ b/packages/measure/src/benchForwardMain.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `npm run bench:forward`: processor time per event of a box on the users' platform, against a bare
- * pass-through of the same bytes, in turn and in one run.
+ * `npm run bench:forward`: CPU time per event of a box that forwards event streams, compared with a bare pass-through of
+ * the same bytes. Both are measured alternately in one run.
  */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -17,7 +17,7 @@
 const MICROSECONDS_PER_SECOND = 1_000_000;
 const WARM_UP_MS = 2_000;
 const SITE_READY_MS = 1_500;
-/** Far above the streams of a run: a box keeps to its part of the connections that a server takes. */
+/** Far more than the streams of a run, because a box uses only its share of the connections that a server accepts. */
 const MAX_CONNECTIONS = 5_000;
 
 type Target = Readonly<{ name: string; process: SpawnedProcess; url: string }>;
@@ -35,8 +35,8 @@
 retries: { ratio: 0.2, slack: 54, windowSeconds: 10 }
 `;
 
-/** A box before the source, with the stand-in of the store in this process. */
-const startBoxBefore = async (source: string): Promise<Target> => {
+/** Starts a box that forwards to the source; the stand-in of the store runs in this process. */
+const startBox = async (source: string): Promise<Target> => {
   const site = await startUsersSite({ engines: 0, services: 0 });
   site.putEngine("source", source);
   site.limitConnections(MAX_CONNECTIONS);
@@ -60,7 +60,7 @@
   return { name: "pass-through", process, url: `http://${address}/draft/` };
 };
 
-/** Processor time that the target takes for one event, in microseconds. */
+/** Returns the CPU time of the target per event, in microseconds. */
 const measureTarget = async (
   target: Target,
   streams: number,
@@ -98,7 +98,7 @@
       String(gapMs),
     ]);
     const [, address = ""] = await source.waitForLine(/source on (\S+)/);
-    const targets = [await startPassThrough(address), await startBoxBefore(address)];
+    const targets = [await startPassThrough(address), await startBox(address)];
     const ratios: number[] = [];
     for (let i = 0; i < repeats; i += 1) {
       const micros: number[] = [];
--- a/packages/measure/src/benchRelayMain.ts
+++ b/packages/measure/src/benchRelayMain.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `npm run bench:relay`: processor time per relayed token, added delay and memory per open stream,
- * against a bare pass-through of the same bytes, in turn and in one run.
+ * `npm run bench:relay`: CPU time per relayed token, added delay and memory per open stream of a box, compared with a
+ * bare pass-through of the same bytes. Both are measured alternately in one run.
  */
 import { fileURLToPath } from "node:url";
 import { boolean, command, flag, number, option, run } from "cmd-ts";
@@ -15,7 +15,7 @@
 const KIB = 1024;
 const WARM_UP_MS = 2_000;
 
-/** Sizes of the run: more streams at longer gaps, so that no process is saturated. */
+/** Numbers of streams with the gap between tokens: longer gaps for more streams, so that no process is saturated. */
 const SIZES = [
   { streams: 1, gapMs: 2 },
   { streams: 100, gapMs: 20 },
@@ -102,21 +102,21 @@
 
 const printRatios = (rows: readonly Row[]) => {
   for (const { streams } of SIZES) {
-    const own = rows.filter(
+    const boxRows = rows.filter(
       (row) => row.streams === streams && row.target === "stairgauged",
     );
-    const base = rows.filter(
+    const baselineRows = rows.filter(
       (row) => row.streams === streams && row.target === "pass-through",
     );
-    const ratios = own.map(
-      (row, i) => row.cpuMicrosPerToken / (base[i]?.cpuMicrosPerToken ?? 0),
+    const ratios = boxRows.map(
+      (row, i) => row.cpuMicrosPerToken / (baselineRows[i]?.cpuMicrosPerToken ?? 0),
     );
-    const added = own.map(
-      (row, i) => row.delayP50Micros - (base[i]?.delayP50Micros ?? 0),
+    const addedDelays = boxRows.map(
+      (row, i) => row.delayP50Micros - (baselineRows[i]?.delayP50Micros ?? 0),
     );
     const median = findMedian(ratios).toFixed(2);
     const spread = `${Math.min(...ratios).toFixed(2)}–${Math.max(...ratios).toFixed(2)}`;
-    const delay = findMedian(added).toFixed(0);
+    const delay = findMedian(addedDelays).toFixed(0);
     process.stdout.write(
       `${streams} streams: CPU per token ${median}x (${spread}), added p50 ${delay} µs\n`,
     );
--- a/packages/measure/src/crowded/compareWays.test.ts
+++ b/packages/measure/src/crowded/compareWays.test.ts
@@ -1,7 +1,8 @@
 /**
- * On a calm day of 64 boxes 232 of 2,140 generations came late, none refused: from second 20 on engines are nearly full of long streams, and
- * the choice by free memory sent newcomers behind prompts that were waiting to be read (first events p50 0.92 s, p99 3.9 s). The
- * patterns replay that load, and others that must not lose by the change.
+ * Guards against late first events on nearly full engines: choosing engines by free memory queues new generations behind
+ * prompts that wait to be read. With 64 boxes 232 of 2,140 generations were late and none refused, from second 20 on,
+ * when long streams fill the engines (first event p50 0.92 s, p99 3.9 s). The patterns simulate that load, and other
+ * loads that must not get worse by choosing short queues.
  */
 import { describe, expect, it } from "vitest";
 import { compareWays } from "./compareWays.js";
@@ -10,15 +11,15 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Plays of one pattern differ by chance more than by the way; so many tell the ways apart in this one. */
+/** Results differ more between seeds than between the ways; this many seeds show the difference in this pattern. */
 const EVEN_SEEDS = 20;
 
-/** Differences within the spread of so few plays are none. */
+/** A difference counts only beyond this many spreads of the mean gain, because there are few seeds. */
 const SPREADS = 2;
 
 describe("choosing engines by short queues", () => {
   it.each(PATTERNS.map((pattern) => [pattern.name, pattern] as const))(
-    "loses nothing beyond the spread in the pattern of %s",
+    "is not worse than by free memory, beyond the spread, in the pattern: %s",
     (_name, pattern) => {
       const { gain, gainSpread } = compareWays(
         pattern,
@@ -29,7 +30,7 @@
     },
   );
 
-  it("serves more in time where engines are kept evenly busy", () => {
+  it("serves more in time than by free memory in the pattern with even lengths", () => {
     const seeds = Array.from({ length: EVEN_SEEDS }, (_, i) => i + 1);
     const ways = ["free_memory", "short_queue"] as const;
     const { gain, gainSpread } = compareWays(EVEN_MIX, ways, seeds);
@@ -37,7 +38,7 @@
   });
 });
 
-describe("the model of an engine", () => {
+describe("createModelEngine", () => {
   const makeRun = (id: string, prompt: number, out: number, tier = 1): ModelRun => ({
     id,
     kind: "k",
@@ -46,7 +47,7 @@
     guess: out,
     tier,
     arrivedAt: 0,
-    made: 0,
+    generated: 0,
     firstAt: undefined,
     lastAt: 0,
     longestPause: 0,
@@ -63,19 +64,19 @@
     while (now < end) now = engine.step(now);
   };
 
-  it("reads a prompt in pieces and then makes its tokens, event by event", () => {
+  it("reads the prompt in chunks, then generates tokens and sends them in events", () => {
     const ended: string[] = [];
     const engine = createEngine(20_000, ended);
     const run = makeRun("a", 1_120, 8);
     engine.add(run);
     stepUntil(engine, 1_000);
     expect(ended).toEqual(["a"]);
-    // Ten pieces of 15 ms and four tokens of 7.12 ms.
+    // Ten chunks of 15 ms and four tokens of 7.12 ms.
     expect(run.firstAt).toBeCloseTo(178.48, 1);
-    expect(engine.getUsed()).toBe(0);
+    expect(engine.getUsedTokens()).toBe(0);
   });
 
-  it("has the newest of the least urgent give way when memory runs out, and reads it anew", () => {
+  it("preempts the newest of the least urgent runs when memory runs out, and reads it again", () => {
     const ended: string[] = [];
     const engine = createEngine(2_100, ended);
     const [first, last] = [makeRun("first", 1_000, 300), makeRun("last", 1_000, 300)];
@@ -86,7 +87,7 @@
     expect([first.preemptions, last.preemptions]).toEqual([0, 1]);
   });
 
-  it("lets in more urgent ones first", () => {
+  it("admits more urgent runs first", () => {
     const ended: string[] = [];
     const engine = createEngine(1_100, ended);
     engine.add(makeRun("late", 1_000, 4, 2));
--- a/packages/measure/src/crowded/compareWays.ts
+++ b/packages/measure/src/crowded/compareWays.ts
@@ -1,16 +1,16 @@
-/** Compares ways of choosing engines on the same patterns and seeds. Pure. */
+/** Compares two ways of choosing engines on the same load pattern and seeds. Pure. */
 import { ENGINE_WAYS, type EngineWayName } from "@stairgauge/placement";
 import { mean, standardDeviation } from "simple-statistics";
 import { runPattern } from "./fleet.js";
 import type { LoadOutcome, LoadPattern } from "./types.js";
 
-/** How two ways differ on one pattern; shares of the worth that was asked for. */
+/** Results of two ways on one pattern, as shares of the worth of all requests. */
 export type WayDifference = Readonly<{
   pattern: string;
-  /** Means over all seeds. */
+  /** Mean shares over all seeds, for each way. */
   first: Readonly<Pick<LoadOutcome, "share" | "worstShare">>;
   second: Readonly<Pick<LoadOutcome, "share" | "worstShare">>;
-  /** Mean gain of the second way in the whole play and in its worst windows, with the spread of that mean. */
+  /** Mean gain of the second way over the first, with the standard error, in the whole run and in its worst windows. */
   gain: number;
   gainSpread: number;
   worstGain: number;
@@ -27,7 +27,7 @@
   spread: standardDeviation([...gains]) / Math.sqrt(gains.length),
 });
 
-/** Plays a pattern with both ways, once for each seed. */
+/** Runs the pattern with both ways, once for each seed. */
 export const compareWays = (
   pattern: LoadPattern,
   names: readonly [EngineWayName, EngineWayName],
--- a/packages/measure/src/crowded/engine.ts
+++ b/packages/measure/src/crowded/engine.ts
@@ -1,58 +1,66 @@
 /**
- * A model of one crowded engine: it batches continuously, reads prompts in pieces between the tokens of other runs, and holds prompts and
- * tokens in limited memory; when that runs out, the newest of the least urgent runs gives way and is read anew.
+ * Model of one engine under load. It batches continuously, reads prompts in chunks between the tokens of other runs, and
+ * keeps prompts and tokens in limited memory. When memory runs out, it preempts the newest of the least urgent runs, which
+ * is read again later.
  */
 
-/** What an engine is like; times in ms, sizes in tokens. */
+/** Parameters of an engine; times in ms, sizes in tokens. */
 export type EngineTraits = Readonly<{
   slots: number;
   memory: number;
   stepMs: number;
   stepMsPerRun: number;
   prefillPerMs: number;
-  /** Prompt tokens that are read between two tokens of the others. */
+  /** Prompt tokens read in one step, between two tokens of the other runs. */
   chunk: number;
   /** Factor on the time of each step. */
   slowness: number;
 }>;
 
-/** A generation. */
+/** One generation; times in ms, lengths in tokens. */
 export type ModelRun = {
   readonly id: string;
   readonly kind: string;
   readonly prompt: number;
   readonly out: number;
-  /** The client's guess at `out`. */
+  /** The client's estimate of `out`. */
   readonly guess: number;
-  /** Rank, 0 first. */
+  /** Rank of its tier; 0 is the most urgent. */
   readonly tier: number;
   readonly arrivedAt: number;
-  made: number;
+  /** Tokens generated so far. */
+  generated: number;
+  /** Time of the first event; undefined before it. */
   firstAt: number | undefined;
+  /** Time of the newest event; of the arrival before the first event. */
   lastAt: number;
   longestPause: number;
   preemptions: number;
 };
 
-/** Tokens of one event; a client sees nothing of a token before its event is whole. */
+/** Tokens per event; a client receives a token only when its event is complete. */
 export const TOKENS_PER_EVENT = 4;
 
+/** A queued or running run; `left` tokens of it still have to be read. */
 type Slot = { readonly run: ModelRun; left: number };
 
-/** An engine under load. */
+/** A simulated engine. */
 export type ModelEngine = Readonly<{
   id: string;
+  /** Queues a run; `readTokens` of it are in memory already, as after a move. */
   add: (run: ModelRun, readTokens?: number) => void;
-  /** Does one step if there is work; gives the time at which the next one may begin. */
+  /** Runs one step if there is work; returns the time at which the next step can begin. */
   step: (now: number) => number;
+  /** Lists running and waiting runs. */
   list: () => readonly ModelRun[];
-  getUsed: () => number;
+  /** Returns the tokens in memory. */
+  getUsedTokens: () => number;
 }>;
 
-/** How often an idle engine looks for work. */
+/** Interval at which an idle engine checks for work. */
 const IDLE_MS = 2;
 
-/** What an engine tells of its runs. */
+/** Callbacks of an engine: first event of a run, and its end. */
 export type EngineEvents = Readonly<{
   onBegun: (run: ModelRun) => void;
   onEnded: (run: ModelRun) => void;
@@ -65,35 +73,35 @@
   { onBegun, onEnded }: EngineEvents,
 ): ModelEngine => {
   const { slots, memory, chunk, slowness } = traits;
-  /** In the order of their admission. */
+  /** In order of admission. */
   let running: Slot[] = [];
   const waiting: Slot[] = [];
 
-  const countTokens = ({ run, left }: Slot) => run.prompt + run.made - left;
-  const getUsed = () => running.reduce((sum, slot) => sum + countTokens(slot), 0);
-  const getReserved = () =>
-    running.reduce((sum, { run }) => sum + run.prompt + run.made, 0);
+  const countTokens = ({ run, left }: Slot) => run.prompt + run.generated - left;
+  const getUsedTokens = () => running.reduce((sum, slot) => sum + countTokens(slot), 0);
+  const getReservedTokens = () =>
+    running.reduce((sum, { run }) => sum + run.prompt + run.generated, 0);
 
   const admit = () => {
     waiting.sort((a, b) => a.run.tier - b.run.tier);
     while (running.length < slots && waiting.length > 0) {
       const next = waiting[0]!;
-      if (getReserved() + next.run.prompt + next.run.made > memory) return;
+      if (getReservedTokens() + next.run.prompt + next.run.generated > memory) return;
       running.push(waiting.shift()!);
     }
   };
   const preempt = () => {
-    while (getUsed() > memory && running.length > 1) {
-      const least = Math.max(...running.map(({ run }) => run.tier));
-      const slot = running.findLast(({ run }) => run.tier === least)!;
+    while (getUsedTokens() > memory && running.length > 1) {
+      const lowestTier = Math.max(...running.map(({ run }) => run.tier));
+      const slot = running.findLast(({ run }) => run.tier === lowestTier)!;
       running = running.filter((other) => other !== slot);
       slot.run.preemptions += 1;
-      waiting.unshift({ run: slot.run, left: slot.run.prompt + slot.run.made });
+      waiting.unshift({ run: slot.run, left: slot.run.prompt + slot.run.generated });
     }
   };
-  const makeToken = (run: ModelRun, now: number) => {
-    run.made += 1;
-    const isEvent = run.made % TOKENS_PER_EVENT === 0 || run.made >= run.out;
+  const addToken = (run: ModelRun, now: number) => {
+    run.generated += 1;
+    const isEvent = run.generated % TOKENS_PER_EVENT === 0 || run.generated >= run.out;
     if (!isEvent) return;
     if (run.firstAt === undefined) {
       run.firstAt = now;
@@ -105,7 +113,7 @@
   return {
     id,
     add: (run, readTokens = 0) =>
-      void waiting.push({ run, left: run.prompt + run.made - readTokens }),
+      void waiting.push({ run, left: run.prompt + run.generated - readTokens }),
     step: (now) => {
       admit();
       if (running.length === 0) return now + IDLE_MS;
@@ -113,21 +121,21 @@
       const reading = running
         .filter(({ left }) => left > 0)
         .sort((a, b) => a.run.tier - b.run.tier)[0];
-      const piece = Math.min(chunk, reading?.left ?? 0);
+      const chunkTokens = Math.min(chunk, reading?.left ?? 0);
       const duration =
         traits.stepMs +
         traits.stepMsPerRun * decoding.length +
-        piece / traits.prefillPerMs;
+        chunkTokens / traits.prefillPerMs;
       const end = now + duration * slowness;
-      if (reading) reading.left -= piece;
-      for (const { run } of decoding) makeToken(run, end);
-      const ended = running.filter(({ run }) => run.made >= run.out);
-      running = running.filter(({ run }) => run.made < run.out);
+      if (reading) reading.left -= chunkTokens;
+      for (const { run } of decoding) addToken(run, end);
+      const ended = running.filter(({ run }) => run.generated >= run.out);
+      running = running.filter(({ run }) => run.generated < run.out);
       for (const { run } of ended) onEnded(run);
       preempt();
       return end;
     },
     list: () => [...running, ...waiting].map(({ run }) => run),
-    getUsed,
+    getUsedTokens,
   };
 };
--- a/packages/measure/src/crowded/fleet.ts
+++ b/packages/measure/src/crowded/fleet.ts
@@ -1,4 +1,7 @@
-/** A fleet of crowded engines before the decisions of the box that places for all: which engine, and when. On a virtual clock. */
+/**
+ * Simulates a fleet of engines under load on a virtual clock. The placement code of the box that places for all boxes
+ * decides which engine a generation is sent to, and when.
+ */
 import {
   createSeededRandom,
   createVirtualClock,
@@ -22,10 +25,11 @@
 import { createModelEngine, type ModelEngine, type ModelRun } from "./engine.js";
 import { sampleRun } from "./sampleRun.js";
 import { sumUp } from "./sumUp.js";
-import type { LoadKind, LoadOutcome, LoadPattern, PlayedRun } from "./types.js";
+import type { LoadKind, LoadOutcome, LoadPattern, SimulatedRun } from "./types.js";
 
 const HALL = "hall" as DataHallName;
 const SERVICE = "writers" as ServiceName;
+/** Time from the notice of a reclaim until the engine's runs continue elsewhere. */
 const MOVE_MS = 400;
 
 const toServer = (id: string): BackendServer => ({
@@ -43,7 +47,7 @@
   leaving: undefined,
 });
 
-/** Plays a pattern once, by a way of choosing engines. */
+/** Runs a load pattern once with the given way of choosing engines. */
 export const runPattern = (
   pattern: LoadPattern,
   way: EngineWay,
@@ -58,7 +62,7 @@
     Readonly<{ engine: ModelEngine; server: BackendServer }>
   >();
   const leaving = new Set<string>();
-  const all = new Map<string, PlayedRun>();
+  const runsById = new Map<string, SimulatedRun>();
   let nextEngine = 0;
   const getNow = () => clock.monotonic();
 
@@ -71,7 +75,7 @@
       {
         onBegun: (run) => book.markBegun(id as ServerId, run.id),
         onEnded: (run) => {
-          all.get(run.id)!.isEnded = true;
+          runsById.get(run.id)!.isEnded = true;
           book.removeRun(id as ServerId, run.id);
         },
       },
@@ -92,12 +96,12 @@
       },
       getNow(),
     );
-    const stepOn = () => {
+    const runSteps = () => {
       if (!engines.has(id)) return;
       const next = engine.step(getNow());
-      clock.setTimer((next - getNow()) as Ms, stepOn);
+      clock.setTimer((next - getNow()) as Ms, runSteps);
     };
-    stepOn();
+    runSteps();
   };
 
   const listCandidates = () =>
@@ -117,7 +121,7 @@
       now: getNow(),
       random,
     });
-  const addAt = (id: string, placed: PlayedRun, readTokens = 0) => {
+  const addAt = (id: string, placed: SimulatedRun, readTokens = 0) => {
     const { run } = placed;
     placed.engine = id;
     book.addRun(id as ServerId, {
@@ -129,7 +133,7 @@
     });
     engines.get(id)!.engine.add(run, readTokens);
   };
-  const place = (placed: PlayedRun, aimMs: number) =>
+  const place = (placed: SimulatedRun, aimMs: number) =>
     placeWithRoom(
       { waitingRoom },
       computePlacingTerms({
@@ -148,9 +152,9 @@
     );
 
   const beginRun = (kind: LoadKind) => {
-    const run = sampleRun(random, kind, { id: `r${all.size}`, now: getNow() });
-    const placed: PlayedRun = { run, engine: undefined, isEnded: false };
-    all.set(run.id, placed);
+    const run = sampleRun(random, kind, { id: `r${runsById.size}`, now: getNow() });
+    const placed: SimulatedRun = { run, engine: undefined, isEnded: false };
+    runsById.set(run.id, placed);
     place(placed, kind.aimMs);
   };
   const scheduleArrival = (kind: LoadKind) => {
@@ -165,7 +169,7 @@
     });
   };
 
-  const passRunsOn = (id: string) => {
+  const continueRunsElsewhere = (id: string) => {
     const from = engines.get(id)!.engine;
     const runs = from.list().filter((run) => run.firstAt !== undefined);
     const targets = listCandidates().map(({ entry }) => ({
@@ -178,41 +182,42 @@
     }));
     const toMove = runs.map((run) => ({
       id: run.id,
-      tokensInMemory: run.prompt + run.made,
-      tokensLeft: Math.max(0, run.guess - run.made),
+      tokensInMemory: run.prompt + run.generated,
+      tokensLeft: Math.max(0, run.guess - run.generated),
     }));
     const ranked = rankTargets(toMove, targets, 0);
     for (const run of runs) {
       const [target] = ranked.get(run.id) ?? [];
-      if (target !== undefined) addAt(target, all.get(run.id)!, run.prompt + run.made);
+      if (target !== undefined)
+        addAt(target, runsById.get(run.id)!, run.prompt + run.generated);
     }
   };
   const endEngine = (id: string) => {
     engines.delete(id);
     book.drop(id as ServerId);
-    for (const placed of all.values())
+    for (const placed of runsById.values())
       if (placed.engine === id && !placed.isEnded) {
         const [kind] = pattern.kinds.filter(({ name }) => name === placed.run.kind);
         place(placed, kind!.aimMs / 2);
       }
     clock.setTimer(pattern.reclaims.backMs as Ms, startEngine);
   };
-  const takeEnginesAway = () => {
+  const startReclaims = () => {
     const { everyMs, share, noticeMs } = pattern.reclaims;
     const staying = listCandidates().map(({ entry }) => entry.id as string);
     const count = Math.round(pattern.engines * share);
     for (let i = 0; i < count && staying.length > 1; i += 1) {
       const [id] = staying.splice(random.nextInt(0, staying.length - 1), 1);
       leaving.add(id!);
-      clock.setTimer(MOVE_MS as Ms, () => passRunsOn(id!));
+      clock.setTimer(MOVE_MS as Ms, () => continueRunsElsewhere(id!));
       clock.setTimer(noticeMs as Ms, () => endEngine(id!));
     }
-    clock.setTimer(everyMs as Ms, takeEnginesAway);
+    clock.setTimer(everyMs as Ms, startReclaims);
   };
 
   for (let i = 0; i < pattern.engines; i += 1) startEngine();
   for (const kind of pattern.kinds) scheduleArrival(kind);
-  if (pattern.reclaims.share > 0) clock.setTimer(1_500 as Ms, takeEnginesAway);
+  if (pattern.reclaims.share > 0) clock.setTimer(1_500 as Ms, startReclaims);
   clock.advance((pattern.durationMs + 12_000) as Ms);
-  return sumUp(pattern, [...all.values()]);
+  return sumUp(pattern, [...runsById.values()]);
 };
--- a/packages/measure/src/crowded/patterns.ts
+++ b/packages/measure/src/crowded/patterns.ts
@@ -1,7 +1,7 @@
-/** Patterns of load; figures in tokens and ms. */
+/** Load patterns; lengths in tokens, times in ms. */
 import type { LoadKind, LoadPattern } from "./types.js";
 
-/** Long streams with widely spread lengths beside many short answers to long prompts, on engines whose memory they fill. */
+/** Long streams of widely spread lengths and many short answers to long prompts, which fill the memory of the engines. */
 export const SHIFTED_MIX: LoadPattern = {
   name: "wide lengths on small engines",
   durationMs: 34_000,
@@ -19,8 +19,8 @@
     {
       name: "draft",
       perSecond: 23.7,
-      prompt: { mean: 3_079, spread: 0.35, most: 6_000 },
-      out: { mean: 748, spread: 1.344, most: 1_768 },
+      prompt: { mean: 3_079, spread: 0.35, max: 6_000 },
+      out: { mean: 748, spread: 1.344, max: 1_768 },
       guessSpread: 1.2,
       tiers: [0, 1, 1, 2],
       aimMs: 1_806,
@@ -31,8 +31,8 @@
     {
       name: "verdict",
       perSecond: 45.9,
-      prompt: { mean: 2_550, spread: 0.6, most: 6_000 },
-      out: { mean: 9, spread: 1.424, most: 32 },
+      prompt: { mean: 2_550, spread: 0.6, max: 6_000 },
+      out: { mean: 9, spread: 1.424, max: 32 },
       guessSpread: 1.2,
       tiers: [0, 1, 1, 2],
       aimMs: 1_504,
@@ -58,7 +58,7 @@
   ],
 });
 
-/** The same work before lengths spread so widely, on fewer engines with more memory. */
+/** The same kinds with less widely spread lengths, on fewer engines with more memory. */
 export const EVEN_MIX: LoadPattern = withLoad(
   SHIFTED_MIX,
   {
@@ -71,20 +71,20 @@
   [
     {
       perSecond: 19.2,
-      out: { mean: 944, spread: 0.84, most: 2_400 },
+      out: { mean: 944, spread: 0.84, max: 2_400 },
       worth: 93,
       worthLate: 14,
     },
     {
       perSecond: 21.5,
-      out: { mean: 16, spread: 0.89, most: 60 },
+      out: { mean: 16, spread: 0.89, max: 60 },
       worth: 9.9,
       worthLate: 1.5,
     },
   ],
 );
 
-/** A small site: six engines of many places, one of which is taken away at a time. */
+/** A small site: six engines with many slots, one of which is reclaimed at a time. */
 export const SMALL_SITE: LoadPattern = withLoad(
   EVEN_MIX,
   {
@@ -96,14 +96,14 @@
   [{ perSecond: 2.4 }, { perSecond: 3.4 }],
 );
 
-/** Many times the users' requests at once for three seconds, as twice the swing. */
+/** Bursts of about three seconds: the request rate swings about twice as far as in the first pattern. */
 export const BURSTS: LoadPattern = {
   ...SHIFTED_MIX,
   name: "a swing of more than half",
   swing: { share: 0.6, periodMs: 8_000 },
 };
 
-/** All patterns, the hardest one first. */
+/** All patterns, hardest first. */
 export const PATTERNS: readonly LoadPattern[] = [
   SHIFTED_MIX,
   BURSTS,
--- a/packages/measure/src/crowded/sampleRun.ts
+++ b/packages/measure/src/crowded/sampleRun.ts
@@ -1,4 +1,4 @@
-/** Draws one generation of a kind. */
+/** Draws a random generation of a kind. */
 import type { Random } from "@stairgauge/common";
 import type { ModelRun } from "./engine.js";
 import type { LoadKind } from "./types.js";
@@ -14,12 +14,12 @@
 
 const sampleTokens = (
   random: Random,
-  { mean, spread, most }: LoadKind["out"],
-  least: number,
+  { mean, spread, max }: LoadKind["out"],
+  min: number,
 ): number =>
-  Math.max(least, Math.min(most, Math.round(sampleLogNormal(random, mean, spread))));
+  Math.max(min, Math.min(max, Math.round(sampleLogNormal(random, mean, spread))));
 
-/** Draws its lengths, its client's guess and its tier. */
+/** Draws the lengths, the client's estimate and the tier of a generation. */
 export const sampleRun = (
   random: Random,
   kind: LoadKind,
@@ -33,10 +33,10 @@
     kind: kind.name,
     prompt,
     out,
-    guess: Math.round(Math.min(kind.out.most, out * error)),
+    guess: Math.round(Math.min(kind.out.max, out * error)),
     tier: kind.tiers[random.nextInt(0, kind.tiers.length - 1)]!,
     arrivedAt: now,
-    made: 0,
+    generated: 0,
     firstAt: undefined,
     lastAt: now,
     longestPause: 0,
--- a/packages/measure/src/crowded/sumUp.ts
+++ b/packages/measure/src/crowded/sumUp.ts
@@ -1,54 +1,55 @@
-/** What a play of a pattern brought. Pure. */
+/** Computes the result of a simulated load pattern. Pure. */
 import type { ModelRun } from "./engine.js";
-import type { KindOutcome, LoadOutcome, LoadPattern, PlayedRun } from "./types.js";
+import type { KindOutcome, LoadOutcome, LoadPattern, SimulatedRun } from "./types.js";
 
 const WINDOW_MS = 2_000;
 
-/** A token that comes out weighs as much as so many that go in, by the users' sheet. */
+/** One output token counts as this many prompt tokens, as the users rate them. */
 const OUT_WEIGHT = 10;
 
-/** Most that one generation is worth, in means of its kind. */
+/** Maximum worth of one generation, as a multiple of the mean of its kind. */
 const MAX_WORTH = 4;
 
 const computeSize = ({ prompt, out }: ModelRun) => prompt + OUT_WEIGHT * out;
 
-/** Sums a play up: what was served in time, by worth, in all and in the worst windows. */
+/** Returns the share of the worth that was earned, in total, in the worst windows and by kind. */
 export const sumUp = (
   pattern: LoadPattern,
-  played: readonly PlayedRun[],
+  runs: readonly SimulatedRun[],
 ): LoadOutcome => {
   let [asked, earned] = [0, 0];
   const windows = new Map<number, [number, number]>();
   const kinds = pattern.kinds.map((kind): KindOutcome => {
-    const own = played.filter(({ run }) => run.kind === kind.name);
-    const meanSize = own.reduce((sum, { run }) => sum + computeSize(run), 0) / own.length;
-    let [askedHere, earnedHere, inTime, preemptions] = [0, 0, 0, 0];
+    const ofKind = runs.filter(({ run }) => run.kind === kind.name);
+    const meanSize =
+      ofKind.reduce((sum, { run }) => sum + computeSize(run), 0) / ofKind.length;
+    let [askedOfKind, earnedOfKind, inTime, preemptions] = [0, 0, 0, 0];
     const firsts: number[] = [];
-    for (const { run, isEnded } of own) {
+    for (const { run, isEnded } of ofKind) {
       const factor = Math.min(MAX_WORTH, 0.3 + (0.7 * computeSize(run)) / meanSize);
       const first = (run.firstAt ?? Infinity) - run.arrivedAt;
-      // What runs on beyond the play counts by what has come so far.
+      // A run that is still open at the end counts by the events it has sent so far.
       const isServed = isEnded || run.firstAt !== undefined;
       const isOnTime =
         isServed && first <= kind.aimMs && run.longestPause <= kind.mostPauseMs;
       const credit = isOnTime ? kind.worth : isServed ? kind.worthLate : 0;
       firsts.push(first);
-      askedHere += kind.worth * factor;
-      earnedHere += credit * factor;
+      askedOfKind += kind.worth * factor;
+      earnedOfKind += credit * factor;
       if (isOnTime) inTime += 1;
       preemptions += run.preemptions;
       const window = Math.floor(run.arrivedAt / WINDOW_MS);
       const [a, e] = windows.get(window) ?? [0, 0];
       windows.set(window, [a + kind.worth * factor, e + credit * factor]);
     }
-    asked += askedHere;
-    earned += earnedHere;
+    asked += askedOfKind;
+    earned += earnedOfKind;
     firsts.sort((a, b) => a - b);
     return {
       name: kind.name,
-      asked: own.length,
+      asked: ofKind.length,
       inTime,
-      share: earnedHere / askedHere,
+      share: earnedOfKind / askedOfKind,
       firstP50: firsts[Math.floor(firsts.length / 2)] ?? 0,
       firstP99: firsts[Math.floor(firsts.length * 0.99)] ?? 0,
       preemptions,
--- a/packages/measure/src/crowded/types.ts
+++ b/packages/measure/src/crowded/types.ts
@@ -1,34 +1,37 @@
-/** What a pattern of load is, and what a play of it brings; times in ms, sizes in tokens. */
+/** Types of load patterns and their results; times in ms, sizes in tokens. */
 import type { EngineTraits, ModelRun } from "./engine.js";
 
-/** One kind of generation. */
+/** One kind of generation. Lengths are log-normal. */
 export type LoadKind = Readonly<{
   name: string;
   perSecond: number;
-  prompt: Readonly<{ mean: number; spread: number; most: number }>;
-  out: Readonly<{ mean: number; spread: number; most: number }>;
-  /** Spread of the client's guess at the tokens that come out. */
+  prompt: Readonly<{ mean: number; spread: number; max: number }>;
+  out: Readonly<{ mean: number; spread: number; max: number }>;
+  /** Spread of the client's estimate of the output length. */
   guessSpread: number;
-  /** Ranks, 0 first: a workspace's own goes before that of the route, so that each kind has all of them. */
+  /** Ranks to draw from, 0 most urgent. The workspace's rank overrides the route's, so each kind has all of them. */
   tiers: readonly number[];
+  /** Longest time to the first event that is still in time. */
   aimMs: number;
+  /** Longest pause between two events that is still in time. */
   mostPauseMs: number;
+  /** Worth of a generation of mean size served in time, and of one served late. */
   worth: number;
   worthLate: number;
 }>;
 
-/** A pattern of load. */
+/** A load pattern. */
 export type LoadPattern = Readonly<{
   name: string;
   durationMs: number;
   engines: number;
   traits: Omit<EngineTraits, "slowness">;
-  /** Factors on the time of each step, dealt out in turn. */
+  /** Factors on the time of each step, assigned to the engines in turn. */
   slowness: readonly number[];
   kinds: readonly LoadKind[];
-  /** How far the traffic swings around its mean, and over which time. */
+  /** Amplitude of the arrival rate as a share of its mean, and the period. */
   swing: Readonly<{ share: number; periodMs: number }>;
-  /** Engines that are taken away at short notice, and come back later. */
+  /** Engines reclaimed at short notice: how often, which share, with which notice, and after which time they return. */
   reclaims: Readonly<{
     everyMs: number;
     share: number;
@@ -37,29 +40,30 @@
   }>;
 }>;
 
-/** What became of the generations of one kind. */
+/** Result for the generations of one kind. */
 export type KindOutcome = Readonly<{
   name: string;
   asked: number;
   inTime: number;
-  /** Worth earned of the worth asked for. */
+  /** Worth earned as a share of the worth of all requests. */
   share: number;
   firstP50: number;
   firstP99: number;
   preemptions: number;
 }>;
 
-/** What became of all. */
+/** Result for all generations. */
 export type LoadOutcome = Readonly<{
   share: number;
-  /** The worst two windows of two seconds. */
+  /** Mean share in the worst two windows of two seconds. */
   worstShare: number;
   kinds: readonly KindOutcome[];
 }>;
 
-/** A generation of a play, where it is, and whether it has ended. */
-export type PlayedRun = {
+/** A generation in the simulation. */
+export type SimulatedRun = {
   readonly run: ModelRun;
+  /** Id of its engine; undefined while it waits for one. */
   engine: string | undefined;
   isEnded: boolean;
 };
--- a/packages/measure/src/measureMain.ts
+++ b/packages/measure/src/measureMain.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run --silent measure`: the users' measures under three policies, side by side. */
+/** `npm run --silent measure`: simulates a traffic profile under three policies and prints their figures side by side. */
 import { command, flag, number, oneOf, option, run, string } from "cmd-ts";
 import { measureProfile, type MeasureReport } from "./model/measureProfile.js";
 import { FAULTS, type Fault } from "./model/types.js";
--- a/packages/measure/src/model/arrivals.ts
+++ b/packages/measure/src/model/arrivals.ts
@@ -1,4 +1,4 @@
-/** Makes the load of a run: the same for every policy, from the seed alone. */
+/** Generates the load of a run. It depends on the seed only, so that every policy receives the same load. */
 import {
   createSeededRandom,
   type GenerationId,
@@ -31,7 +31,7 @@
   return items[items.length - 1]!;
 };
 
-const makeArrival = (options: {
+const createArrival = (options: {
   readonly profile: Profile;
   readonly traffic: TrafficKind;
   readonly at: number;
@@ -41,7 +41,7 @@
 }): Arrival => {
   const { profile, traffic, random } = options;
   const workspace = pickWeighted(profile.workspaces, (one) => one.weight, random);
-  const rest = sampleLogNormal(random, traffic.promptMedian, traffic.promptSpread);
+  const ownTokens = sampleLogNormal(random, traffic.promptMedian, traffic.promptSpread);
   const output = sampleLogNormal(random, traffic.outputMedian, traffic.outputSpread);
   return {
     id: `g${options.count}` as GenerationId,
@@ -51,7 +51,7 @@
     tier: traffic.tier,
     rank: profile.tiers.find((tier) => tier.name === traffic.tier)?.rank ?? 0,
     kind: traffic.kind,
-    promptTokens: Math.min(8_000, traffic.prefixTokens + rest),
+    promptTokens: Math.min(8_000, traffic.prefixTokens + ownTokens),
     length: Math.min(profile.maxOutputTokens, output),
     maxOutputTokens: profile.maxOutputTokens,
     prefix: { hash: `${workspace.name}/${traffic.kind}`, tokens: traffic.prefixTokens },
@@ -78,10 +78,10 @@
     at += gap * MS_PER_SECOND;
     if (at >= durationMs) return arrivals;
     const traffic = pickWeighted(profile.kinds, (one) => one.share, random);
-    const isTaken = random.nextFloat() < traffic.rate(at / durationMs) / peak;
-    if (!isTaken) continue;
+    const isAccepted = random.nextFloat() < traffic.rate(at / durationMs) / peak;
+    if (!isAccepted) continue;
     arrivals.push(
-      makeArrival({ profile, traffic, at, count: arrivals.length, boxes, random }),
+      createArrival({ profile, traffic, at, count: arrivals.length, boxes, random }),
     );
   }
 };
--- a/packages/measure/src/model/clairvoyantPolicy.ts
+++ b/packages/measure/src/model/clairvoyantPolicy.ts
@@ -1,11 +1,11 @@
-/** The bound: one queue for the site, every length known, every engine's state known as it is. */
+/** Upper bound for the other policies: one queue for the whole site, with the exact lengths and engine states. */
 import type { GenerationId } from "@stairgauge/common";
-import type { Arrival, EngineTruth, Policy, PolicySetting } from "./types.js";
+import type { Arrival, EngineState, Policy, PolicySetting } from "./types.js";
 
-type Held = Readonly<{ promptTokens: number; generated: number; length: number }>;
+type StreamSize = Readonly<{ promptTokens: number; generated: number; length: number }>;
 
-/** Highest memory use ahead, if every stream gains a token a step until its known end. */
-const computePeak = (streams: readonly Held[]): number => {
+/** Returns the highest future memory use in tokens, if every stream generates one token per step until its end. */
+const computePeak = (streams: readonly StreamSize[]): number => {
   const byEnd = streams
     .map((one) => ({
       left: one.length - one.generated,
@@ -16,8 +16,8 @@
   let steps = 0;
   let peak = held;
   byEnd.forEach((one, i) => {
-    const alive = byEnd.length - i;
-    held += alive * (one.left - steps);
+    const remaining = byEnd.length - i;
+    held += remaining * (one.left - steps);
     steps = one.left;
     peak = Math.max(peak, held);
     held -= one.held + one.left;
@@ -31,19 +31,18 @@
   const waiting: Arrival[] = [];
   const leaving = new Set<number>();
   const arrivals = new Map<GenerationId, Arrival>();
-  /** Placed in this very moment, before the engine shows it. */
   const { memoryTokens, maxRunning } = profile.engine;
 
-  const fits = (truth: EngineTruth, arrival: Arrival): boolean => {
-    const streams = [...truth.streams, { ...arrival, generated: 0 }];
+  const fits = (state: EngineState, arrival: Arrival): boolean => {
+    const streams = [...state.streams, { ...arrival, generated: 0 }];
     return streams.length <= maxRunning && computePeak(streams) <= memoryTokens;
   };
   const choose = (arrival: Arrival): number | undefined => {
     let best: Readonly<{ engine: number; streams: number }> | undefined;
     for (let engine = 0; engine < profile.engines; engine += 1) {
-      const truth = setting.getTruth(engine);
-      if (!truth.isAlive || leaving.has(engine) || !fits(truth, arrival)) continue;
-      const streams = truth.streams.length;
+      const state = setting.getEngineState(engine);
+      if (!state.isAlive || leaving.has(engine) || !fits(state, arrival)) continue;
+      const streams = state.streams.length;
       if (!best || streams < best.streams) best = { engine, streams };
     }
     return best?.engine;
@@ -52,7 +51,7 @@
     for (let i = 0; i < waiting.length;) {
       const arrival = waiting[i]!;
       const engine = choose(arrival);
-      // NOTE: the head of the line is not overtaken within its tier, so that nothing starves.
+      // NOTE: within a tier no request overtakes the first one, so that none starves.
       if (engine === undefined) {
         while (i < waiting.length && waiting[i]!.rank === arrival.rank) i += 1;
         continue;
--- a/packages/measure/src/model/engineDriver.ts
+++ b/packages/measure/src/model/engineDriver.ts
@@ -1,24 +1,24 @@
-/** Runs one stand-in engine's model on the virtual clock, and can kill it or stall its link. */
+/** Runs the model of one stand-in engine on the virtual clock; it can be killed, and its link stalled. */
 import type { Clock, GenerationId, Ms } from "@stairgauge/common";
 import {
   createEngineModel,
   type EngineModel,
   type EngineProfile,
 } from "@stairgauge/standins";
-import type { Arrival, EngineTruth } from "./types.js";
+import type { Arrival, EngineState } from "./types.js";
 
-/** What an engine tells the run. */
+/** Callbacks of an engine; `generated` is the number of tokens of the stream so far. */
 export type EngineDriverHandlers = Readonly<{
   onToken: (id: GenerationId, generated: number) => void;
   onFinished: (id: GenerationId, generated: number) => void;
   onPreempted: (count: number) => void;
-  /** The engine died with this stream; `generated` tokens had left. */
+  /** The engine died with this stream, after it had sent `generated` tokens. */
   onLost: (id: GenerationId, generated: number) => void;
 }>;
 
 type Stream = { readonly arrival: Arrival; generated: number };
 
-/** A running engine. */
+/** A simulated engine. */
 export type EngineDriver = ReturnType<typeof createEngineDriver>;
 
 /** Creates an engine without streams. */
@@ -32,13 +32,13 @@
   let isAlive = true;
   let isStepping = false;
   let isStalled = false;
-  let life = 0;
-  let held: (() => void)[] = [];
+  let killCount = 0;
+  let heldCallbacks: (() => void)[] = [];
 
-  /** What is told while the link is stalled arrives once it is not. */
-  const tell = (send: () => void) => {
-    if (isStalled) held.push(send);
-    else send();
+  /** Runs the callback at once, or when the link is no longer stalled. */
+  const notify = (callback: () => void) => {
+    if (isStalled) heldCallbacks.push(callback);
+    else callback();
   };
 
   const applyStep = (
@@ -50,23 +50,23 @@
       if (!stream) continue;
       stream.generated += 1;
       const { generated } = stream;
-      tell(() => handlers.onToken(id, generated));
+      notify(() => handlers.onToken(id, generated));
     }
     for (const id of finished) {
       const generated = streams.get(id)?.generated ?? 0;
       streams.delete(id);
-      tell(() => handlers.onFinished(id, generated));
+      notify(() => handlers.onFinished(id, generated));
     }
   };
 
   const run = () => {
     if (isStepping || !isAlive || !model.hasWork()) return;
     isStepping = true;
-    const own = life;
+    const killCountAtStart = killCount;
     const result = model.step();
     if (result.preempted.length > 0) handlers.onPreempted(result.preempted.length);
     clock.setTimer(result.durationMs as Ms, () => {
-      if (life !== own) return;
+      if (killCount !== killCountAtStart) return;
       isStepping = false;
       applyStep(result.advanced, result.finished);
       run();
@@ -92,7 +92,7 @@
     kill: () => {
       isAlive = false;
       isStepping = false;
-      life += 1;
+      killCount += 1;
       const lost = [...streams];
       streams.clear();
       model = createEngineModel(profile);
@@ -103,13 +103,13 @@
     },
     setStalled: (value: boolean) => {
       isStalled = value;
-      const waiting = held;
-      held = [];
-      for (const send of waiting) tell(send);
+      const callbacks = heldCallbacks;
+      heldCallbacks = [];
+      for (const send of callbacks) notify(send);
     },
     isAlive: () => isAlive,
     getLoad: () => model.getLoad(),
-    getTruth: (): EngineTruth => ({
+    getEngineState: (): EngineState => ({
       isAlive,
       streams: [...streams.values()].map(({ arrival, generated }) => ({
         promptTokens: arrival.promptTokens,
--- a/packages/measure/src/model/measureProfile.ts
+++ b/packages/measure/src/model/measureProfile.ts
@@ -1,4 +1,4 @@
-/** Measures a profile at a load under every policy. */
+/** Simulates a traffic profile under every policy. */
 import { generateArrivals } from "./arrivals.js";
 import { PROFILES } from "./profiles.js";
 import { POLICIES, runPolicy, type PolicyName } from "./runPolicy.js";
@@ -9,22 +9,22 @@
 const DURATION_MS = 240_000;
 const DRAIN_MS = 60_000;
 
-/** The load under which capacity is found: far more than any site can take. */
+/** Load for measuring the capacity: far more than any site can serve. */
 const CAPACITY_SEED = 1_000_003;
 const CAPACITY_DURATION_MS = 120_000;
 const CAPACITY_OFFERED_PER_SECOND = 120;
 
-/** A measurement. */
+/** Options of a measurement. */
 export type MeasureOptions = Readonly<{
   profile: keyof typeof PROFILES;
   seed: number;
-  /** Share of the capacity that is offered. */
+  /** Offered load as a share of the capacity. */
   load: number;
   boxes: number;
   faults: readonly Fault[];
 }>;
 
-/** The figures of every policy under the same arrivals. */
+/** Results of every policy under the same arrivals. */
 export type MeasureReport = Readonly<{
   profile: string;
   seed: number;
@@ -37,8 +37,8 @@
 }>;
 
 /**
- * Requests a second that the engines complete with lengths known and always more to do. The mix of
- * what completes is the mix of what arrives only while no tier starves, so all ranks are equal here.
+ * Returns the requests per second that the engines complete when lengths are known and requests always wait. Completed
+ * requests have the same mix as arrived ones only if no tier starves, so all ranks are made equal.
  */
 const measureCapacity = (name: keyof typeof PROFILES): number => {
   const base = PROFILES[name];
@@ -65,7 +65,7 @@
   return report.completed / (CAPACITY_DURATION_MS / MS_PER_SECOND);
 };
 
-/** Measures every policy under the same arrivals. The same options give the same figures. */
+/** Measures every policy under the same arrivals. The same options give the same results. */
 export const measureProfile = (options: MeasureOptions): MeasureReport => {
   const { seed, load, boxes, faults } = options;
   const profile = PROFILES[options.profile];
--- a/packages/measure/src/model/naivePolicy.ts
+++ b/packages/measure/src/model/naivePolicy.ts
@@ -1,4 +1,4 @@
-/** The baseline: each box sends to its least outstanding engine at once; priority is the tier's. */
+/** Baseline policy: each box sends at once to the engine with its fewest outstanding requests; priority is the tier's rank. */
 import type { GenerationId } from "@stairgauge/common";
 import type { Arrival, Policy, PolicySetting } from "./types.js";
 
@@ -14,7 +14,7 @@
   const place = (arrival: Arrival, except?: number) => {
     const counts = outstanding[arrival.box]!;
     turn += 1;
-    // Ties go round, as in any balancer.
+    // Ties are broken round-robin.
     const order = counts.map((_, i) => (i + turn) % counts.length);
     const usable = order.filter((engine) => engine !== except && !leaving.has(engine));
     const engine = usable.reduce((least, one) =>
--- a/packages/measure/src/model/profiles.ts
+++ b/packages/measure/src/model/profiles.ts
@@ -1,4 +1,4 @@
-/** The two users' sites and traffic, after the brief. Sizes of engines are assumed: not yet stated. */
+/** Sites and traffic of two users. The sizes of their engines are assumptions. */
 import type { Profile } from "./types.js";
 
 const ENGINE = {
@@ -22,9 +22,9 @@
   { name: "bronze", rank: 2, firstTokenDeadlineMs: 60_000 },
 ] as const;
 
-const computeSteady = () => 1;
+const getSteadyRate = () => 1;
 
-/** Sellers' ad drafts, moderators' verdicts on long prompts, and small sellers on the lowest tier. */
+/** Ad drafts for sellers, verdicts on long prompts for moderators, and drafts for small sellers on the lowest tier. */
 const KERLANN: Profile = {
   name: "kerlann",
   engines: 6,
@@ -42,7 +42,7 @@
       outputMedian: 250,
       outputSpread: 0.9,
       prefixTokens: 120,
-      rate: computeSteady,
+      rate: getSteadyRate,
     },
     {
       kind: "verdict",
@@ -53,7 +53,7 @@
       outputMedian: 40,
       outputSpread: 0.8,
       prefixTokens: 400,
-      rate: computeSteady,
+      rate: getSteadyRate,
     },
     {
       kind: "small-seller-draft",
@@ -64,7 +64,7 @@
       outputMedian: 300,
       outputSpread: 1.1,
       prefixTokens: 120,
-      rate: computeSteady,
+      rate: getSteadyRate,
     },
   ],
 };
@@ -74,11 +74,11 @@
 const RUSH_RATE = 2;
 const QUIET_RATE = 0.75;
 
-/** Twice the mean rate for a fifth of the run, less besides; 1 on average. */
-const computeRush = (elapsed: number) =>
+/** Rate factor: twice the mean for a fifth of the run, less otherwise; 1 on average. */
+const getRushRate = (elapsed: number) =>
   elapsed >= RUSH_START && elapsed < RUSH_END ? RUSH_RATE : QUIET_RATE;
 
-/** Patients' chats with a Monday rush, nurses' long summaries. */
+/** Chats with patients, which have a Monday rush, long summaries by nurses, and letters. */
 const TURNOS: Profile = {
   name: "turnos",
   engines: 6,
@@ -96,7 +96,7 @@
       outputMedian: 110,
       outputSpread: 0.8,
       prefixTokens: 200,
-      rate: computeRush,
+      rate: getRushRate,
     },
     {
       kind: "summary",
@@ -107,7 +107,7 @@
       outputMedian: 600,
       outputSpread: 0.8,
       prefixTokens: 200,
-      rate: computeSteady,
+      rate: getSteadyRate,
     },
     {
       kind: "letter",
@@ -118,7 +118,7 @@
       outputMedian: 300,
       outputSpread: 1,
       prefixTokens: 100,
-      rate: computeSteady,
+      rate: getSteadyRate,
     },
   ],
 };
--- a/packages/measure/src/model/runPolicy.test.ts
+++ b/packages/measure/src/model/runPolicy.test.ts
@@ -1,4 +1,4 @@
-/** The measurement itself: repeatable, and no request unaccounted for, whatever the faults. */
+/** Results of runPolicy are repeatable, and include every request under every fault. */
 import { describe, expect, it } from "vitest";
 import { generateArrivals } from "./arrivals.js";
 import { PROFILES } from "./profiles.js";
@@ -6,11 +6,17 @@
 import { FAULTS, type Fault } from "./types.js";
 
 const DURATION_MS = 20_000;
-const BOXES = 3;
+const BOX_COUNT = 3;
 
 const run = (policy: PolicyName, faults: readonly Fault[]) => {
   const profile = PROFILES.turnos;
-  const load = { profile, perSecond: 25, durationMs: DURATION_MS, boxes: BOXES, seed: 5 };
+  const load = {
+    profile,
+    perSecond: 25,
+    durationMs: DURATION_MS,
+    boxes: BOX_COUNT,
+    seed: 5,
+  };
   const arrivals = generateArrivals(load);
   const drainMs = 20_000;
   const report = runPolicy({ ...load, policy, arrivals, drainMs, faults });
@@ -18,7 +24,7 @@
 };
 
 describe("runPolicy", () => {
-  it("gives the same figures for the same seed", () => {
+  it("returns the same results for the same seed", () => {
     expect(run("stairgauge", []).report).toEqual(run("stairgauge", []).report);
   });
 
@@ -29,7 +35,7 @@
   );
 
   it.each(cases)(
-    "accounts for every request of $policy under $faults",
+    "counts every request once with policy $policy and faults $faults",
     ({ policy, faults }) => {
       const { arrivals, report } = run(policy, faults);
       const { completed, refused, unfinished, lost } = report;
--- a/packages/measure/src/model/runPolicy.ts
+++ b/packages/measure/src/model/runPolicy.ts
@@ -1,4 +1,4 @@
-/** Runs a load under one policy on the virtual clock. */
+/** Simulates a load under one policy on the virtual clock. */
 import { createVirtualClock, type GenerationId, type Ms } from "@stairgauge/common";
 import { createClairvoyantPolicy } from "./clairvoyantPolicy.js";
 import { createEngineDriver, type EngineDriver } from "./engineDriver.js";
@@ -11,6 +11,7 @@
 const TICK_MS = 250;
 const REPORT_EVERY_MS = 500;
 const REPORT_LAG_MS = 200;
+/** Faults begin at this share of the run. */
 const FAULT_AT = 1 / 3;
 const FAULT_LASTS_MS = 30_000;
 const STALL_LASTS_MS = 3_000;
@@ -26,21 +27,21 @@
 /** Name of a policy. */
 export type PolicyName = keyof typeof POLICIES;
 
-/** A run. */
+/** Options of a run. */
 export type RunOptions = Readonly<{
   policy: PolicyName;
   profile: Profile;
   arrivals: readonly Arrival[];
-  /** Time over which the load arrives. */
+  /** Time in which the load arrives. */
   durationMs: number;
-  /** Time after it in which what runs may end. */
+  /** Additional time for open requests to end. */
   drainMs: number;
   boxes: number;
   seed: number;
   faults: readonly Fault[];
 }>;
 
-/** Runs the load and reports its figures. */
+/** Runs the load and returns the results. */
 export const runPolicy = (options: RunOptions): PolicyReport => {
   const { profile, arrivals, durationMs, boxes } = options;
   const clock = createVirtualClock();
@@ -57,7 +58,7 @@
         policy.handleProgress(id, generated, clock.now());
       },
       onFinished: (id, generated) => {
-        statistics.recordWhole(id);
+        statistics.recordCompleted(id);
         policy.handleEnd(id, generated, true, clock.now());
       },
       onPreempted: statistics.recordPreemptions,
@@ -65,7 +66,7 @@
     }),
   );
 
-  /** Before the first token another engine takes the stream; after it the answer is lost. */
+  /** Handles a stream whose engine died: before the first token it is placed again, later it is lost. */
   const dropStream = (id: GenerationId, generated: number, engine: number) => {
     if (generated === 0) {
       clock.setTimer(0 as Ms, () => policy.handleFailure(id, engine, clock.now()));
@@ -83,7 +84,7 @@
       place: (id, engine, priority) => engines[engine]!.start(byId.get(id)!, priority),
       refuse: statistics.recordRefused,
     },
-    getTruth: (engine) => engines[engine]!.getTruth(),
+    getEngineState: (engine) => engines[engine]!.getEngineState(),
   });
 
   const handleArrival = (arrival: Arrival) => {
--- a/packages/measure/src/model/stairgaugePolicy.ts
+++ b/packages/measure/src/model/stairgaugePolicy.ts
@@ -1,4 +1,4 @@
-/** The system's own decision cores, one for each box, fed as the daemon feeds them. */
+/** Policy of the real system: one decision core per box, which receives the same events as in the daemon. */
 import { checkBundle, hashKey, indexBundle, type BundleIndex } from "@stairgauge/bundle";
 import {
   createSeededRandom,
@@ -18,12 +18,13 @@
 
 const MODEL = "model" as ModelName;
 const PROGRESS_EVERY_TOKENS = 16;
-const ROOMY = 100_000;
+/** High enough that the limits of workspaces never apply. */
+const NO_LIMIT = 100_000;
 
 const toServer = (engine: number) => `engine-${engine}` as BackendServerName;
 const toEngine = (server: BackendServerName) => Number(server.slice("engine-".length));
 
-/** A workspace pays for one tier, so each pair is a workspace of its own. */
+/** Name for a pair of workspace and tier: each workspace of the bundle has one tier only. */
 const toWorkspace = (workspace: string, tier: string) => `${workspace}.${tier}`;
 
 const buildIndex = (profile: Profile): BundleIndex => {
@@ -35,7 +36,7 @@
     workspaces: profile.workspaces.flatMap((workspace) =>
       profile.tiers.map((tier) => {
         const name = toWorkspace(workspace.name, tier.name);
-        const limits = { concurrentStreams: ROOMY, queuedRequests: ROOMY };
+        const limits = { concurrentStreams: NO_LIMIT, queuedRequests: NO_LIMIT };
         return {
           name,
           tier: tier.name,
@@ -60,7 +61,7 @@
   return indexBundle({ head, bundle: result.val });
 };
 
-/** Creates the policy. */
+/** Creates the policy with the real decision cores. */
 export const createStairgaugePolicy = (setting: PolicySetting): Policy => {
   const { profile, boxes, seed, actions } = setting;
   const index = buildIndex(profile);
@@ -87,7 +88,7 @@
   const send = (box: number, event: DecisionEvent, now: Ms) => {
     for (const decision of cores[box]!.handle(event, now)) apply(decision);
   };
-  const sendOwner = (id: GenerationId, event: DecisionEvent, now: Ms) => {
+  const sendToOwner = (id: GenerationId, event: DecisionEvent, now: Ms) => {
     const box = owners.get(id);
     if (box !== undefined) send(box, event, now);
   };
@@ -112,10 +113,10 @@
     handleProgress: (id, tokens, now) => {
       if (tokens % PROGRESS_EVERY_TOKENS !== 0) return;
       const request = toRequest(id);
-      sendOwner(id, { kind: "progressed", request, generatedTokens: tokens }, now);
+      sendToOwner(id, { kind: "progressed", request, generatedTokens: tokens }, now);
     },
     handleEnd: (id, generatedTokens, isWhole, now) => {
-      sendOwner(
+      sendToOwner(
         id,
         { kind: "ended", request: toRequest(id), generatedTokens, isWhole },
         now,
@@ -125,7 +126,7 @@
     handleFailure: (id, engine, now) => {
       const server = toServer(engine);
       const request = toRequest(id);
-      sendOwner(id, { kind: "attemptFailed", request, server, isLeaving: false }, now);
+      sendToOwner(id, { kind: "attemptFailed", request, server, isLeaving: false }, now);
     },
     handleReport: (box, engine, load, now) =>
       send(box, { kind: "loadReported", server: toServer(engine), load }, now),
--- a/packages/measure/src/model/statistics.ts
+++ b/packages/measure/src/model/statistics.ts
@@ -1,4 +1,4 @@
-/** What a run is measured by. Waiting, refused and unfinished streams are shown beside the rest. */
+/** Collects the results of a run, including waiting, refused and unfinished streams. */
 import { build, type Histogram } from "hdr-histogram-js";
 import type { Arrival } from "./types.js";
 
@@ -7,13 +7,13 @@
 const PER_THOUSAND = 1_000;
 const SIGNIFICANT_DIGITS = 3;
 
-/** A gap longer than this is a stall: its whole length counts as time with nothing arriving. */
+/** A gap longer than this is a stall, and its whole length counts as stall time. */
 export const STALL_FROM_MS = 250;
 
 /** Percentiles of a distribution. */
 type Percentiles = Readonly<Record<"p50" | "p95" | "p99", number>>;
 
-/** The figures of one tier. */
+/** Results of one tier. */
 export type TierReport = Readonly<{
   arrived: number;
   completed: number;
@@ -25,7 +25,7 @@
   stallSecondsPerStream: Percentiles & Readonly<{ mean: number }>;
 }>;
 
-/** The figures of one policy. */
+/** Results of one policy. */
 export type PolicyReport = TierReport &
   Readonly<{
     waiting: number;
@@ -99,7 +99,7 @@
   };
 };
 
-/** Collects a run. Times are virtual milliseconds. */
+/** Creates an empty collector for one run. Times are milliseconds of the virtual clock. */
 export const createStatistics = () => {
   const all = createCollector();
   const byTier = new Map<string, Collector>();
@@ -142,7 +142,7 @@
         );
       }
     },
-    recordWhole: (id: string) => {
+    recordCompleted: (id: string) => {
       const state = streams.get(id);
       if (state) finish(state, (collector) => (collector.completed += 1));
     },
@@ -159,17 +159,17 @@
     recordPreemptions: (count: number) => {
       preemptions += count;
     },
-    /** Counts what was still open at the end: its waiting so far is its caller's wait. */
+    /** Records, for each stream still open at the end, the caller's wait since the newest token or since the arrival. */
     closeAt: (now: number) => {
       for (const state of streams.values()) {
         if (!state.isOpen) continue;
-        const isBegun = state.lastTokenAt > 0;
-        const since = now - (isBegun ? state.lastTokenAt : state.arrival.at);
+        const hasBegun = state.lastTokenAt > 0;
+        const since = now - (hasBegun ? state.lastTokenAt : state.arrival.at);
         for (const collector of state.collectors) {
-          const histogram = isBegun ? collector.gap : collector.firstToken;
-          if (!isBegun || since > STALL_FROM_MS)
+          const histogram = hasBegun ? collector.gap : collector.firstToken;
+          if (!hasBegun || since > STALL_FROM_MS)
             histogram.recordValue(since * MICROSECONDS_PER_MS);
-          if (isBegun && since > STALL_FROM_MS) collector.stallMs += since;
+          if (hasBegun && since > STALL_FROM_MS) collector.stallMs += since;
         }
       }
     },
--- a/packages/measure/src/model/types.ts
+++ b/packages/measure/src/model/types.ts
@@ -1,9 +1,9 @@
-/** Types of the measurement: arrivals, policies and what is recorded. */
+/** Types of the policy simulation: arrivals, policies, profiles and faults. */
 import type { GenerationId, Ms } from "@stairgauge/common";
 import type { ReportedLoad } from "@stairgauge/decisions";
 import type { EngineProfile } from "@stairgauge/standins";
 
-/** One request of the load; `length` is hidden from every policy but the clairvoyant one. */
+/** One request of the load. Only the clairvoyant policy may use `length`, the number of output tokens. */
 export type Arrival = Readonly<{
   id: GenerationId;
   at: Ms;
@@ -18,42 +18,43 @@
   prefix: Readonly<{ hash: string; tokens: number }>;
 }>;
 
-/** What a policy may do to the world. */
+/** Actions of a policy. */
 export type PolicyActions = Readonly<{
   place: (id: GenerationId, engine: number, priority: number) => void;
   refuse: (id: GenerationId) => void;
 }>;
 
-/** A way to decide. Time is the virtual clock's. */
+/** Decides where and when requests are placed. Times are of the virtual clock. */
 export type Policy = Readonly<{
   handleArrival: (arrival: Arrival, now: Ms) => void;
   handleProgress: (id: GenerationId, tokens: number, now: Ms) => void;
-  /** A stream ended: whole, or lost with its engine. */
+  /** A stream ended, completely or lost with its engine. */
   handleEnd: (id: GenerationId, tokens: number, isWhole: boolean, now: Ms) => void;
-  /** A stream was lost before its first token and wants another place. */
+  /** A stream was lost before its first token and must be placed again. */
   handleFailure: (id: GenerationId, engine: number, now: Ms) => void;
-  /** A lagging load report reaches a box. */
+  /** A delayed load report reaches a box. */
   handleReport: (box: number, engine: number, load: ReportedLoad, now: Ms) => void;
+  /** An engine was marked as leaving, or is no longer. */
   handleMark: (engine: number, isLeaving: boolean, now: Ms) => void;
-  /** A box lost its memory and started anew. */
+  /** A box restarted without its state. */
   handleBoxLoss: (box: number, now: Ms) => void;
   handleTick: (now: Ms) => void;
-  /** Requests that wait at the boxes. */
+  /** Returns the number of requests that wait at the boxes. */
   countWaiting: () => number;
 }>;
 
-/** What a policy is made with. */
+/** Inputs of a policy. */
 export type PolicySetting = Readonly<{
   profile: Profile;
   boxes: number;
   seed: number;
   actions: PolicyActions;
-  /** The truth about an engine; only the clairvoyant policy may ask. */
-  getTruth: (engine: number) => EngineTruth;
+  /** Returns the exact state of an engine; only the clairvoyant policy may use it. */
+  getEngineState: (engine: number) => EngineState;
 }>;
 
-/** What is true of an engine now. */
-export type EngineTruth = Readonly<{
+/** Exact state of an engine. */
+export type EngineState = Readonly<{
   isAlive: boolean;
   streams: readonly Readonly<{
     promptTokens: number;
@@ -71,9 +72,9 @@
   promptSpread: number;
   outputMedian: number;
   outputSpread: number;
-  /** Prompt tokens that all requests of one workspace and kind share. */
+  /** Prompt tokens shared by all requests of one workspace and kind. */
   prefixTokens: number;
-  /** Change of the arrival rate over the run, by the elapsed share of it. */
+  /** Factor on the arrival rate by the elapsed share of the run. */
   rate: (elapsed: number) => number;
 }>;
 
@@ -92,7 +93,7 @@
   kinds: readonly TrafficKind[];
 }>;
 
-/** Faults that a run may have. */
+/** Faults that a run can include. */
 export const FAULTS = [
   "engine-death",
   "reclaim",
@@ -101,5 +102,5 @@
   "box-lost",
 ] as const;
 
-/** A fault. */
+/** Name of a fault. */
 export type Fault = (typeof FAULTS)[number];
--- a/packages/measure/src/patternsMain.ts
+++ b/packages/measure/src/patternsMain.ts
@@ -1,4 +1,4 @@
-/** Plays the patterns of load with two ways of choosing engines, and prints how they differ. */
+/** Simulates the load patterns with two ways of choosing engines, and prints how the results differ. */
 import { ENGINE_WAYS, type EngineWayName } from "@stairgauge/placement";
 import { command, number, oneOf, option, run } from "cmd-ts";
 import { compareWays } from "./crowded/compareWays.js";
@@ -26,13 +26,13 @@
     seeds: option({ type: number, long: "seeds", defaultValue: () => 12 }),
   },
   handler: ({ first, second, seeds }) => {
-    const list = Array.from({ length: seeds }, (_, i) => i + 1);
+    const seedList = Array.from({ length: seeds }, (_, i) => i + 1);
     for (const pattern of PATTERNS) {
-      const told = compareWays(pattern, [first, second], list);
+      const difference = compareWays(pattern, [first, second], seedList);
       process.stdout.write(
-        `${told.pattern}: ${first} ${toText(told.first.share)} (worst windows ${toText(told.first.worstShare)}), ` +
-          `${second} ${toText(told.second.share)} (${toText(told.second.worstShare)}); gain ${toText(told.gain)} ` +
-          `± ${toText(told.gainSpread)}, in worst windows ${toText(told.worstGain)} ± ${toText(told.worstGainSpread)}\n`,
+        `${difference.pattern}: ${first} ${toText(difference.first.share)} (worst windows ${toText(difference.first.worstShare)}), ` +
+          `${second} ${toText(difference.second.share)} (${toText(difference.second.worstShare)}); gain ${toText(difference.gain)} ` +
+          `± ${toText(difference.gainSpread)}, in worst windows ${toText(difference.worstGain)} ± ${toText(difference.worstGainSpread)}\n`,
       );
     }
   },
--- a/packages/measure/src/relayBench/eventSourceMain.ts
+++ b/packages/measure/src/relayBench/eventSourceMain.ts
@@ -1,4 +1,4 @@
-/** The event source of the forwarding benchmark, as a process of its own. */
+/** Runs the event source of the forwarding benchmark as a separate process. */
 import { startUsersEventSource } from "@stairgauge/standins";
 
 const [, , gapMs = "100"] = process.argv;
--- a/packages/measure/src/relayBench/loadClient.ts
+++ b/packages/measure/src/relayBench/loadClient.ts
@@ -1,23 +1,23 @@
-/** The callers of the relay's benchmark: many open streams, counted and timed. */
+/** Callers of the benchmarks: many open streams whose tokens are counted and timed. */
 import { build, type Histogram } from "hdr-histogram-js";
 import { Agent } from "undici";
 
 const MICROSECONDS_PER_MS = 1_000;
 const STAMP_PATTERN = /"(?:t|content)":"(\d+\.\d+)"/g;
 
-/** Open streams to one relay. */
+/** Open streams to one benchmark target. */
 export type LoadClient = Readonly<{
   countTokens: () => number;
-  /** Delay from the source's write to the caller's read, microseconds. */
+  /** Delays from the source's write to the caller's read, in microseconds. */
   delays: Histogram;
-  /** Forgets what was counted so far. */
+  /** Resets the counts and delays. */
   restart: () => void;
-  /** Resolves once every stream has had a token. */
+  /** Resolves when every stream has received a token. */
   waitForAll: () => Promise<void>;
   close: () => Promise<void>;
 }>;
 
-/** Opens `streams` streams by POST. */
+/** Opens `streams` streams with POST requests. */
 export const createLoadClient = (options: {
   readonly url: string;
   readonly headers: Readonly<Record<string, string>>;
@@ -26,10 +26,10 @@
 }): LoadClient => {
   const agent = new Agent({ bodyTimeout: 0 });
   const delays = build();
-  const begun = new Set<number>();
+  const startedStreams = new Set<number>();
   let tokens = 0;
   let resolveAll: () => void = () => undefined;
-  const all = new Promise<void>((resolve) => {
+  const allStarted = new Promise<void>((resolve) => {
     resolveAll = resolve;
   });
 
@@ -38,9 +38,9 @@
     for (const [, stamp] of chunk.toString("latin1").matchAll(STAMP_PATTERN)) {
       tokens += 1;
       delays.recordValue(Math.max(0, (now - Number(stamp)) * MICROSECONDS_PER_MS));
-      begun.add(stream);
+      startedStreams.add(stream);
     }
-    if (begun.size === options.streams) resolveAll();
+    if (startedStreams.size === options.streams) resolveAll();
   };
 
   const { origin, pathname } = new URL(options.url);
@@ -68,7 +68,7 @@
       tokens = 0;
       delays.reset();
     },
-    waitForAll: () => all,
+    waitForAll: () => allStarted,
     close: () => agent.destroy(),
   };
 };
--- a/packages/measure/src/relayBench/passThroughMain.ts
+++ b/packages/measure/src/relayBench/passThroughMain.ts
@@ -1,4 +1,4 @@
-/** The baseline of the relay's benchmark: a bare undici pass-through of the same bytes. */
+/** Baseline of the benchmarks: a bare pass-through of the same bytes with undici. */
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { Agent, stream } from "undici";
--- a/packages/measure/src/relayBench/sourceMain.ts
+++ b/packages/measure/src/relayBench/sourceMain.ts
@@ -1,4 +1,4 @@
-/** A source of tokens for the relay's benchmark: frames at a steady gap, with time stamps as text. */
+/** Token source of the relay benchmark: sends frames at a fixed interval, with time stamps as text. */
 import type { ServerResponse } from "node:http";
 import type { GenerationId } from "@stairgauge/common";
 import { encodeFrame } from "@stairgauge/engines";
@@ -18,14 +18,14 @@
 
 const renderStamp = (): string => (performance.timeOrigin + performance.now()).toFixed(3);
 
-const sendOne = (stream: Stream) => {
+const sendToken = (stream: Stream) => {
   const { generation, index, response } = stream;
   response.write(encodeFrame({ kind: "token", generation, index, text: renderStamp() }));
   stream.index += 1;
 };
 
 const tick = () => {
-  for (const stream of streams) sendOne(stream);
+  for (const stream of streams) sendToken(stream);
 };
 
 const openStream = (response: ServerResponse, generation: string) => {
--- a/packages/measure/src/slopes/measureSlope.ts
+++ b/packages/measure/src/slopes/measureSlope.ts
@@ -1,4 +1,4 @@
-/** Measures a probe at its sizes and fits a line. */
+/** Measures the cost of a probe at several sizes and fits a line. */
 import {
   linearRegression,
   linearRegressionLine,
@@ -8,10 +8,10 @@
 import type { SizedCost, Slope, SlopeProbe } from "./types.js";
 
 const REPEATS = 5;
-/** Below this share the growth is said not to be linear. */
-const LINEAR_FROM = 0.95;
-/** Growth that is small against the cost itself is flat, whatever its shape. */
-const FLAT_BELOW = 0.25;
+/** Minimum r² for growth to count as linear. */
+const MIN_LINEAR_R_SQUARED = 0.95;
+/** Growth below this share of the highest cost counts as linear, whatever its shape. */
+const MAX_FLAT_GROWTH = 0.25;
 
 const measureSize = async (probe: SlopeProbe, size: number): Promise<SizedCost> => {
   const costs: number[] = [];
@@ -25,7 +25,7 @@
   };
 };
 
-/** Measures the probe and fits its slope over the medians. */
+/** Measures the probe at each size, after one warm-up run, and fits a line through the medians. */
 export const measureSlope = async (probe: SlopeProbe): Promise<Slope> => {
   await probe.measure(probe.sizes[0] ?? 1);
   const sizes: SizedCost[] = [];
@@ -36,6 +36,6 @@
   const costs = sizes.map((one) => one.median);
   const growth = (Math.max(...costs) - Math.min(...costs)) / Math.max(...costs);
   const { name, unit } = probe;
-  const isLinear = share >= LINEAR_FROM || growth < FLAT_BELOW;
+  const isLinear = share >= MIN_LINEAR_R_SQUARED || growth < MAX_FLAT_GROWTH;
   return { name, unit, sizes, perUnit: line.m, base: line.b, rSquared: share, isLinear };
 };
--- a/packages/measure/src/slopes/probes.ts
+++ b/packages/measure/src/slopes/probes.ts
@@ -1,4 +1,4 @@
-/** What is measured for docs/CAPACITY.md. */
+/** Costs that are measured for docs/CAPACITY.md. */
 import {
   computeDigest,
   indexBundle,
@@ -37,17 +37,17 @@
   globalThis.gc();
 };
 
-/** Holds what is measured, so that it is not collected before it has been weighed. */
-const held: unknown[] = [];
+/** References to the measured objects, so that they are not garbage-collected before the heap is read. */
+const retained: unknown[] = [];
 
-/** Bytes of heap that `make`'s result keeps. */
+/** Returns the bytes of heap that the result of `make` retains. */
 const measureHeap = <T>(make: () => T): number => {
   collectGarbage();
   const before = process.memoryUsage().heapUsed;
-  held.push(make());
+  retained.push(make());
   collectGarbage();
   const after = process.memoryUsage().heapUsed;
-  held.length = 0;
+  retained.length = 0;
   return after - before;
 };
 
@@ -64,7 +64,7 @@
   return core;
 };
 
-/** Places a request and ends it; returns microseconds for both. */
+/** Returns the microseconds to place and end one request. */
 const measureDecisions = (core: DecisionCore, workspaces: number): number => {
   const ms = measureMs(() => {
     for (let i = 0; i < DECISIONS; i += 1) {
@@ -88,7 +88,7 @@
   return (ms * MICROSECONDS_PER_MS) / DECISIONS;
 };
 
-/** Microseconds of one event. */
+/** Returns the microseconds to handle one event. */
 const measureEvents = (
   core: DecisionCore,
   makeEvent: (i: number) => DecisionEvent,
@@ -158,7 +158,7 @@
   });
 };
 
-/** All probes. Engines' sizes are 6, 75 and 750; workspaces' up to 35,000. */
+/** All probes. Sites have 6, 75 or 750 engines and up to 35,000 workspaces. */
 export const PROBES: readonly SlopeProbe[] = [
   {
     name: "heap of the bundle's index, by workspaces",
--- a/packages/measure/src/slopes/syntheticBundle.ts
+++ b/packages/measure/src/slopes/syntheticBundle.ts
@@ -1,4 +1,4 @@
-/** Bundles of any size, for slopes. */
+/** Builds bundles of any size for the probes. */
 import {
   checkBundle,
   hashKey,
@@ -7,22 +7,22 @@
   type BundleIndex,
 } from "@stairgauge/bundle";
 
-const MODELS = 7;
+const MODEL_COUNT = 7;
 const HEAD = { version: 1, digest: "0".repeat(64), proposer: "p", approvals: [] };
 
-/** Size of a bundle. */
+/** Number of workspaces and engines of a bundle. */
 export type BundleSize = Readonly<{ workspaces: number; engines: number }>;
 
 const toAddress = (i: number) => `10.${i >> 16}.${(i >> 8) & 255}.${i & 255}:9000`;
 
-/** Builds the content before validation. */
+/** Builds the content of a bundle, not yet validated. */
 export const buildContent = ({ workspaces, engines }: BundleSize): unknown => ({
   tiers: [
     { name: "gold", rank: 0 },
     { name: "silver", rank: 1 },
     { name: "bronze", rank: 2 },
   ],
-  models: Array.from({ length: MODELS }, (_, i) => ({
+  models: Array.from({ length: MODEL_COUNT }, (_, i) => ({
     name: `model-${i}`,
     contextTokens: 16_000,
     maxOutputTokens: 8_000,
@@ -31,20 +31,20 @@
     name: `workspace-${i}`,
     tier: ["gold", "silver", "bronze"][i % 3],
     keyHashes: [hashKey(`key-${i}`)],
-    models: [`model-${i % MODELS}`],
+    models: [`model-${i % MODEL_COUNT}`],
   })),
   backendServers: Array.from({ length: engines }, (_, i) => ({
     kind: "engine",
     name: `engine-${i}`,
     address: toAddress(i),
-    dataHall: `hall-${i % MODELS}`,
-    serves: Array.from({ length: MODELS }, (_, m) => `model-${m}`),
+    dataHall: `hall-${i % MODEL_COUNT}`,
+    serves: Array.from({ length: MODEL_COUNT }, (_, m) => `model-${m}`),
     memoryTokens: 1_000_000,
     maxRunning: 256,
   })),
 });
 
-/** Validates content; it is right by construction. */
+/** Validates the content; throws if it is invalid, which only a fault in `buildContent` can cause. */
 export const toBundle = (content: unknown): Bundle => {
   const bundle = checkBundle(content);
   if (bundle.err) throw new TypeError(JSON.stringify(bundle.val));
--- a/packages/measure/src/slopes/types.ts
+++ b/packages/measure/src/slopes/types.ts
@@ -1,6 +1,6 @@
-/** Slopes: how a cost grows with a size. */
+/** Types for measuring how a cost grows with a size. */
 
-/** A cost at one size: its median over repeats, and how far the repeats lie apart. */
+/** Cost at one size: median, minimum and maximum over the repeats. */
 export type SizedCost = Readonly<{
   size: number;
   median: number;
@@ -8,21 +8,21 @@
   high: number;
 }>;
 
-/** A fitted slope. */
+/** Measured costs with the line fitted through them. */
 export type Slope = Readonly<{
   name: string;
   unit: string;
   sizes: readonly SizedCost[];
-  /** Cost for each further unit of size. */
+  /** Cost per unit of size. */
   perUnit: number;
-  /** Cost that does not grow. */
+  /** Cost at size 0. */
   base: number;
-  /** Share of the growth that the line explains; 1 is a straight line. */
+  /** Coefficient of determination (r²) of the line; 1 is a perfect fit. */
   rSquared: number;
   isLinear: boolean;
 }>;
 
-/** Something to measure: the cost at one size. */
+/** A measurable cost; `measure` returns the cost at one size, in `unit`. */
 export type SlopeProbe = Readonly<{
   name: string;
   unit: string;
--- a/packages/measure/src/slopesMain.ts
+++ b/packages/measure/src/slopesMain.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run --silent measure:slopes [-- --json]`: the slopes behind docs/CAPACITY.md. */
+/** `npm run --silent measure:slopes [-- --json]`: how costs grow with sizes, for docs/CAPACITY.md. */
 import { command, flag, run } from "cmd-ts";
 import { measureSlope } from "./slopes/measureSlope.js";
 import { PROBES } from "./slopes/probes.js";
