--- a/packages/diagnosis/src/buildTimeline.ts
+++ b/packages/diagnosis/src/buildTimeline.ts
@@ -62,7 +62,7 @@
   const allLines = runs.flatMap((run) => run.lines);
   return {
     requestLogs: runs.flatMap(buildRequestLogs),
-    boxEvents: allLines
+    happenings: allLines
       .filter(({ request }) => request === undefined)
       .sort((a, b) => a.timelineAt - b.timelineAt),
     beginsAt: Math.min(...runs.map(({ run }) => run.beginsAt)) as Ms,
--- a/packages/diagnosis/src/classifyCause.ts
+++ b/packages/diagnosis/src/classifyCause.ts
@@ -74,13 +74,13 @@
 
 const classifyMoveProgress = (
   requestLog: RequestLog,
-  boxEvents: readonly TimedLine[],
+  happenings: readonly TimedLine[],
 ): MoveProgress => {
   if (hasLine(requestLog, "copied") || hasLine(requestLog, "standby_kept"))
     return "after_copy";
   if (hasLine(requestLog, "move_begun")) return "before_copy";
   const server = findLast(requestLog, "stream_lost")?.fields["server"];
-  const wasAnnounced = boxEvents.some(
+  const wasAnnounced = happenings.some(
     ({ box, event, fields }) =>
       box === requestLog.run.box &&
       (event === "evacuation" || event === "server_leaving") &&
@@ -117,7 +117,7 @@
 const classifyEnded = (
   requestLog: RequestLog,
   end: EndLine,
-  boxEvents: readonly TimedLine[],
+  happenings: readonly TimedLine[],
 ): Cause => {
   switch (end.event) {
     case "stream_ended":
@@ -129,7 +129,7 @@
     case "stream_lost":
       return {
         kind: "engine_ended",
-        progress: classifyMoveProgress(requestLog, boxEvents),
+        progress: classifyMoveProgress(requestLog, happenings),
       };
     case "client_left":
       return { kind: "client_left" };
@@ -139,10 +139,10 @@
 /** Classifies a request by its log lines and, for a stream whose engine ended, by the box's events about that engine. */
 export const classifyCause = (
   requestLog: RequestLog,
-  { boxEvents, endsAt }: Pick<Timeline, "boxEvents" | "endsAt">,
+  { happenings, endsAt }: Pick<Timeline, "happenings" | "endsAt">,
 ): Cause => {
   const end = requestLog.lines.findLast(isEnd);
-  if (end) return classifyEnded(requestLog, end, boxEvents);
+  if (end) return classifyEnded(requestLog, end, happenings);
   if (hasLine(requestLog, "out_of_time")) return { kind: "out_of_time" };
   return isLastLineTooOld(requestLog)
     ? { kind: "unexplained" }
--- a/packages/diagnosis/src/explainRequest.ts
+++ b/packages/diagnosis/src/explainRequest.ts
@@ -45,12 +45,12 @@
 
 const collectRelevantEvents = (
   requestLog: RequestLog,
-  boxEvents: readonly TimedLine[],
+  happenings: readonly TimedLine[],
 ): readonly TimedLine[] => {
   const servers = collectServers(requestLog);
   const from = requestLog.lines[0]!.timelineAt - LOOKBACK_MS;
   const until = requestLog.lines.at(-1)!.timelineAt;
-  return boxEvents.filter(
+  return happenings.filter(
     ({ box, event, timelineAt, fields }) =>
       box === requestLog.run.box &&
       RELEVANT_EVENTS.has(event) &&
@@ -72,7 +72,7 @@
     .filter((requestLog) => requestLog.request === request)
     .map((requestLog) => {
       const start = requestLog.lines[0]!.timelineAt;
-      const relevant = collectRelevantEvents(requestLog, timeline.boxEvents);
+      const relevant = collectRelevantEvents(requestLog, timeline.happenings);
       const steps = [...relevant, ...requestLog.lines]
         .sort((a, b) => a.timelineAt - b.timelineAt)
         .map(({ timelineAt, event, request: requestId, fields }) => ({
--- a/packages/diagnosis/src/types.ts
+++ b/packages/diagnosis/src/types.ts
@@ -50,7 +50,7 @@
 export type Timeline = Readonly<{
   requestLogs: readonly RequestLog[];
   /** Lines without a request id, in order of time. */
-  boxEvents: readonly TimedLine[];
+  happenings: readonly TimedLine[];
   beginsAt: Ms;
   endsAt: Ms;
   /** Number of lines that the boxes dropped to bound their logs, as they report it. */
