--- a/apps/cli/src/diagnose.ts
+++ b/apps/cli/src/diagnose.ts
@@ -1,15 +1,15 @@
-/** `explain` and `losses`: from boxes' log files to causes. */
+/** The `explain` and `losses` commands: read log files of boxes and show why requests ended as they did. */
 import { writeFileSync } from "node:fs";
 import { Err, Ok, type Result } from "@stairgauge/common";
 import {
-  buildChronicle,
+  buildTimeline,
   collectAccounts,
   countLosses,
   describeCause,
   explainRequest,
   readLogs,
   renderLossPlot,
-  type Chronicle,
+  type Timeline,
   type Explanation,
   type FaultCounts,
 } from "@stairgauge/diagnosis";
@@ -17,24 +17,24 @@
 import { readText } from "./openSite.js";
 import { renderTable, type Output } from "./output.js";
 
-type Read = Readonly<{ chronicle: Chronicle; faults: FaultCounts }>;
+type LogContent = Readonly<{ timeline: Timeline; faults: FaultCounts }>;
 
-const readChronicle = async (
+const readTimeline = async (
   paths: readonly string[],
-): Promise<Result<Read, CommandFailure>> => {
+): Promise<Result<LogContent, CommandFailure>> => {
   const read = await readLogs(paths);
   if (read.err) return Err(read.val);
   const { lines, faults } = read.val;
   if (lines.length === 0) return Err({ kind: "no_log_lines", faults });
-  return Ok({ chronicle: buildChronicle(lines), faults });
+  return Ok({ timeline: buildTimeline(lines), faults });
 };
 
-/** What was not used, a line each; nothing when all was. */
-const describeGaps = ({ chronicle, faults }: Read): string => {
+/** Returns one warning line for each kind of log lines that are missing or unusable; empty if there are none. */
+const describeGaps = ({ timeline, faults }: LogContent): string => {
   const gaps = [
     [faults.broken_object, "lines are cut off or broken"],
     [faults.foreign_object, "lines are no lines of a box"],
-    [chronicle.leftOut, "lines were left out by the boxes, to bound their logs"],
+    [timeline.droppedLines, "lines were left out by the boxes, to bound their logs"],
   ] as const;
   return gaps
     .filter(([count]) => count > 0)
@@ -60,27 +60,28 @@
   return `${request} at ${box}: ${describeCause(cause)}\n${rows.join("")}`;
 };
 
-/** Explains one request. */
+/** Shows the log lines and the cause of one request. */
 export const explainLogs = async (
   request: string,
   paths: readonly string[],
 ): Promise<Result<Output, CommandFailure>> => {
-  const read = await readChronicle(paths);
+  const read = await readTimeline(paths);
   if (read.err) return Err(read.val);
-  const explanations = explainRequest(read.val.chronicle, request);
+  const explanations = explainRequest(read.val.timeline, request);
   if (explanations.length === 0) return Err({ kind: "unknown_request", request });
   const text = explanations.map(formatExplanation).join("\n") + describeGaps(read.val);
   return Ok({ json: { explanations, faults: read.val.faults }, text });
 };
 
-/** How losses are summed up. */
+/** Options of the `losses` command. */
 export type LossOptions = Readonly<{
+  /** Paths of log files; `-` is standard input. */
   logs: readonly string[];
-  /** Where the picture goes. */
+  /** Path of the SVG plot to write; undefined for none. */
   plot: string | undefined;
-  /** File with the ids that callers sent, one a line. */
+  /** Path of a file with the ids that callers sent, one per line; undefined for none. */
   asked: string | undefined;
-  /** What a request is worth, as ROUTE=NUMBER. */
+  /** What one request of a route is worth, as ROUTE=NUMBER. */
   worth: readonly string[];
 }>;
 
@@ -113,7 +114,7 @@
   }
 };
 
-/** Sums up all requests by route and cause. */
+/** Counts all requests by route and cause, and writes the plot if asked to. */
 export const sumUpLosses = async (
   options: LossOptions,
 ): Promise<Result<Output, CommandFailure>> => {
@@ -121,9 +122,9 @@
   if (worth.err) return Err(worth.val);
   const asked = readAsked(options.asked);
   if (asked.err) return Err(asked.val);
-  const read = await readChronicle(options.logs);
+  const read = await readTimeline(options.logs);
   if (read.err) return Err(read.val);
-  const accounts = collectAccounts(read.val.chronicle, asked.val);
+  const accounts = collectAccounts(read.val.timeline, asked.val);
   const counts = countLosses(accounts, worth.val);
   if (options.plot !== undefined) {
     const written = writePlot(options.plot, await renderLossPlot(accounts));
