--- a/apps/box/src/askHubs.ts
+++ b/apps/box/src/askHubs.ts
@@ -18,7 +18,10 @@
 export type HubsOptions = Readonly<{
   clock: Clock;
   own: BoxName;
-  links: Pick<PeerLinks, "isHub" | "listHubs" | "listUp" | "askPlace" | "askMoves">;
+  links: Pick<
+    PeerLinks,
+    "isHub" | "listHubs" | "listConnected" | "askPlace" | "askMoves"
+  >;
   findServer: (id: ServerId) => BackendServer | undefined;
   /** Whether this box may send new requests to a server, whatever a hub says. */
   mayTakeWork: (server: BackendServer) => boolean;
@@ -67,8 +70,8 @@
 
 /** Creates the client of the hubs. */
 export const createHubs = (options: HubsOptions): Hubs => {
-  const { clock, own, links, findServer, onPassedOver } = options;
-  const asker = createHubAsker({ clock, links, onPassedOver });
+  const { clock, own, links, findServer, onPassedOver: onEjected } = options;
+  const asker = createHubAsker({ clock, links, onEjected });
 
   /**
    * Converts a hub's answer; undefined if this box can't use it, for example because the server
--- a/apps/box/src/createBox.ts
+++ b/apps/box/src/createBox.ts
@@ -128,7 +128,7 @@
     holder.getIndex()?.findService(service)?.engine !== undefined;
   const isPlacedByHubs = (service: ServiceName) =>
     hasHubs(links.countBoxes()) && isEngineService(service);
-  const registry = createLoadRegistry((change) => reporter.takeChange(change));
+  const registry = createLoadRegistry((change) => reporter.recordChange(change));
   const competing = createCompetingRate();
   const updates = createUpdateReceiver({
     clock,
@@ -204,10 +204,10 @@
     links,
     findServer: (id) => directory.find(id),
     mayTakeWork: (server) => placer.mayTakeWork(server),
-    listResting: backoffs.listResting,
+    listResting: backoffs.listBackingOff,
     onPassedOver: (hub) => log.writeDecision("hub_passed_over", { peer: hub }),
   });
-  const waitingRoom = createWaitQueue(clock);
+  const waitQueue = createWaitQueue(clock);
   let peerAddress = toHostAndPort(settings.listen.peers);
   const membership = createMembership({
     clock,
@@ -249,7 +249,7 @@
     clock,
     random,
     directory,
-    book: registry,
+    registry,
     actions,
     isOutOfTouch,
     isEngineService,
@@ -264,12 +264,12 @@
     way: ENGINE_WAYS[settings.policy.engineChoice],
     findRegion: (hall) => settings.regions[hall] as RegionName | undefined,
     directory,
-    book: registry,
-    rivals: competing,
+    registry,
+    competingRate: competing,
     cold: cold.limits,
-    spells: cold.periods,
+    coldPeriods: cold.periods,
     limits,
-    rests: backoffs,
+    backoffs,
     getConnectionShare: (service) =>
       computeConnectionShare(
         holder.getIndex()?.findService(service)?.maxConnections,
@@ -283,9 +283,9 @@
   });
   const placeHub = createPlaceHub({
     clock,
-    book: registry,
+    registry,
     placer,
-    waitingRoom,
+    waitQueue,
   });
   const { planner, standbys, mover } = createMoves({
     clock,
@@ -313,20 +313,20 @@
     placer,
     budget,
     runs,
-    waitingRoom,
-    adviser: hubs.advisor,
+    waitQueue,
+    advisor: hubs.advisor,
     runKeeper: mover,
     guard: crashes.guard,
     dispatchSignals: signals.handle,
     observer: observeForwarding({ log, metrics, configuration }),
     retryAfter: settings.clients.retryAfterMs as Ms,
     connectLimit: settings.clients.connectLimitMs as Ms,
-    mostHeldBytes: settings.clients.heldMb * BYTES_PER_MB,
+    maxHeldBytes: settings.clients.heldMb * BYTES_PER_MB,
   });
   const clientServer = createClientServer({
     handle: forwarder.handle,
-    mostConnections: computeClientConnections(settings.limits.descriptors),
-    onClientFault: (code) => log.writeDecision("client_fault", { code }),
+    maxConnections: computeClientConnections(settings.limits.descriptors),
+    onClientError: (code) => log.writeDecision("client_fault", { code }),
   });
 
   const followedTables = createFollowedTables({
--- a/apps/box/src/createColdServers.ts
+++ b/apps/box/src/createColdServers.ts
@@ -43,7 +43,7 @@
   const limits = createColdLimits({
     clock,
     places,
-    spells: periods,
+    coldPeriods: periods,
     findWarmUp,
     bound: { overage: coldOverage ?? 1, slack: coldSlack },
     sendWithin: (PLACE_LIMIT_MS + settings.clients.connectLimitMs) as Ms,
--- a/apps/box/src/createCrashes.ts
+++ b/apps/box/src/createCrashes.ts
@@ -52,7 +52,7 @@
   const guard: RequestGuard = createRequestGuard({
     clock,
     limits: { blockingEnds, memory: (memorySeconds * MS_PER_S) as Ms },
-    onOwnUpdate: peers.reporter.takeCrashes,
+    onOwnUpdate: peers.reporter.recordCrashes,
     onSharedUpdate: (crashes) => peers.forward({ crashes }),
     onBlocked: handleBlocked,
     onReleased: (digest, isOwn) => {
--- a/apps/box/src/createDirectory.ts
+++ b/apps/box/src/createDirectory.ts
@@ -56,7 +56,7 @@
    */
   const sendLeaving = (server: BackendServer, reason: LeavingReason) => {
     const shared = toSharedLeaving(server, reason);
-    if (shared.basis === "own_word" && !isPlacedByHubs(server.entry.service)) {
+    if (shared.evidence === "own_word" && !isPlacedByHubs(server.entry.service)) {
       reporter.reportAnnouncedLeaving(shared);
       forward({ leaving: [shared] });
       return;
--- a/apps/box/src/createFollowedTables.ts
+++ b/apps/box/src/createFollowedTables.ts
@@ -53,7 +53,10 @@
   random: Random;
   log: DecisionLog;
   metrics: BoxMetrics;
-  links: Pick<PeerLinks, "ask" | "listUp" | "listReachable" | "countBoxes" | "renew">;
+  links: Pick<
+    PeerLinks,
+    "ask" | "listConnected" | "listReachable" | "countBoxes" | "reopen"
+  >;
   tables: FollowedTableUses;
   /**
    * Called when a table has been read completely after the store was restored from a copy, with
@@ -184,14 +187,13 @@
       onEraFault: (fault) => log.writeWarning("store_era_fault", fault),
     }),
     links,
-    hearers: store.hearers,
-    mostSilence: maxSilence,
+    minStoreReaders: store.hearers,
+    maxSilence,
     relayedWaits: RELAYED_WAITS,
     guard: { table: TABLE.operator, age: guardAge },
     patience,
     storePatience: store.patienceMs as Ms,
-    onDistrust: (box, reason) =>
-      log.writeDecision("box_not_asked", { peer: box, reason }),
+    onEjected: (box, reason) => log.writeDecision("box_not_asked", { peer: box, reason }),
   });
   const revisions = createRevisionWatermark();
   const guards = new Map<string, RestoreGuard>();
@@ -269,9 +271,9 @@
         .map(([table, guard]) => ({ table, ...guard.listUnsettled() }))
         .filter(hasUnsettled),
     applyUnsettled: (unsettled) => {
-      for (const { table, ...rows } of unsettled) guards.get(table)?.takeUnsettled(rows);
+      for (const { table, ...rows } of unsettled) guards.get(table)?.applyUnsettled(rows);
     },
     answer: (question) =>
-      answerTable({ mirrors, pulse, mostSilence: maxSilence, catchUpWait }, question),
+      answerTable({ mirrors, pulse, maxSilence, catchUpWait }, question),
   };
 };
--- a/apps/box/src/createLimits.ts
+++ b/apps/box/src/createLimits.ts
@@ -31,7 +31,7 @@
   const sendUpdate = (update: LimitUpdate) => peers.forward({ limits: update });
   const enqueueRenewal = createRenewalGatherer({
     clock,
-    getBook: () => limits,
+    getRegistry: () => limits,
     send: sendUpdate,
   });
   const handleUpdate = (update: LimitUpdate, isRenewal: boolean) => {
@@ -44,7 +44,7 @@
     places,
     isPlacedByHubs,
     isListed: (server) => getDirectory().find(server) !== undefined,
-    onOwnUpdate: peers.reporter.takeLimits,
+    onOwnUpdate: peers.reporter.recordLimits,
     onSharedUpdate: handleUpdate,
     onEvent: observeLimits({
       log,
--- a/apps/box/src/createMoves.ts
+++ b/apps/box/src/createMoves.ts
@@ -5,7 +5,7 @@
 import { toAgingClock, type Clock } from "@stairgauge/common";
 import type { BackendServer, ServerDirectory } from "@stairgauge/directory";
 import {
-  createExposureJudge,
+  createExposureClassifier,
   createMovePlanner,
   type FleetPlacer,
   type MovePlanner,
@@ -56,7 +56,7 @@
 
   const planner = createMovePlanner({
     clock,
-    book: registry,
+    registry,
     reports: options.reports,
     listTargets,
     findLink: findTraits,
@@ -67,9 +67,9 @@
   const standbys = createStandbyKeeper({
     clock: toAgingClock(clock),
     actions,
-    ...createExposureJudge({
+    ...createExposureClassifier({
       directory,
-      book: registry,
+      registry,
       listTargets,
       findTraits,
       mayTake,
--- a/apps/box/src/createPeers.ts
+++ b/apps/box/src/createPeers.ts
@@ -85,9 +85,9 @@
   const reporter = createRunReporter({
     clock,
     own: member.box,
-    book: registry,
-    send: (update) => links.tell(update),
-    sendToSome: (update) => links.tellSome(update),
+    registry,
+    send: (update) => links.send(update),
+    sendToSome: (update) => links.sendToSome(update),
     listLeaving: () => listSharedLeaving(getDirectory()),
     listCrashes: () => getCrashes().guard.makeFullUpdate(),
     listLimits: () => getLimits().makeUpdate(),
@@ -103,13 +103,13 @@
   const peerServer = createPeerServer({
     onMessage,
     onUpdate: updates.receiveUpdate,
-    makeGreeting: (box) => {
+    makeFirstNotice: (box) => {
       recordGreeting(box);
       return makeNotice({
         // A box that has just started has only read the entries, which may be older than the
         // servers' announcements.
         leaving: listSharedLeaving(getDirectory()).filter(
-          ({ basis }) => basis === "own_word",
+          ({ evidence }) => evidence === "own_word",
         ),
         crashes: getCrashes().guard.makeSharedUpdate(),
         limits: getLimits().makeUpdate(),
--- a/apps/box/src/createReports.ts
+++ b/apps/box/src/createReports.ts
@@ -17,14 +17,14 @@
   clock: Clock;
   random: Random;
   directory: ServerDirectory;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   actions: EngineActions;
   /** Whether this box has lost the store. */
   isOutOfTouch: () => boolean;
   isEngineService: (service: ServiceName) => boolean;
   shares: ReportPollerOptions["shares"];
   updates: Pick<UpdateReceiver, "applyReport">;
-  reporter: Pick<RunReporter, "takeReport">;
+  reporter: Pick<RunReporter, "recordReport">;
 }>;
 
 /**
@@ -45,6 +45,6 @@
     limit: settings.engines.reportLimitMs as Ms,
     onReport: (server, report) => updates.applyReport(server.entry.id, report),
     onPolled: (server, report) =>
-      reporter.takeReport({ server: server.entry.id, report }),
+      reporter.recordReport({ server: server.entry.id, report }),
   });
 };
--- a/apps/box/src/createSignals.test.ts
+++ b/apps/box/src/createSignals.test.ts
@@ -97,12 +97,12 @@
     const { id } = ENTRY;
     const asked = { kind: "asked", duration: 3_000 as Ms } as const;
     signals.handle({ server, signals: { ...NO_SIGNALS, rest: asked }, source: SOURCE });
-    expect(signals.backoffs.mayTake(id, 0)).toBe(false);
+    expect(signals.backoffs.mayReceive(id, 0)).toBe(false);
     clock.advance(4_000 as Ms);
     signals.handle({ server, signals: NO_SIGNALS, source: { kind: "health" } });
-    expect(signals.backoffs.mayTake(id, 1)).toBe(false);
+    expect(signals.backoffs.mayReceive(id, 1)).toBe(false);
     signals.handle({ server, signals: NO_SIGNALS, source: SOURCE });
-    expect(signals.backoffs.mayTake(id, 1)).toBe(true);
+    expect(signals.backoffs.mayReceive(id, 1)).toBe(true);
     const unreadable = { kind: "unreadable", text: "soon" } as const;
     signals.handle({
       server,
--- a/apps/box/src/createSignals.ts
+++ b/apps/box/src/createSignals.ts
@@ -63,7 +63,11 @@
   const backoffs: ServerBackoffs = createServerBackoffs({
     clock,
     random: options.random,
-    onEvent: observeBackoffs({ log, metrics, listResting: () => backoffs.listResting() }),
+    onEvent: observeBackoffs({
+      log,
+      metrics,
+      listResting: () => backoffs.listBackingOff(),
+    }),
   });
   const reportUnreadable = createUnreadableReporter(log);
 
@@ -142,7 +146,7 @@
   };
   return {
     handle,
-    actions: createEngineActions({ onSigns: handleFromEngine }),
+    actions: createEngineActions({ onSignals: handleFromEngine }),
     backoffs,
   };
 };
--- a/apps/box/src/createSinks.ts
+++ b/apps/box/src/createSinks.ts
@@ -60,7 +60,7 @@
   };
   const configuration = createConfigurationSink({
     key: CONFIGURATION_KEY,
-    keeper: holder,
+    holder,
     decode: decodeConfiguration,
     onEvent: (event) => {
       observeConfiguration({ log, metrics }, event);
--- a/apps/box/src/receiveUpdates.ts
+++ b/apps/box/src/receiveUpdates.ts
@@ -23,7 +23,7 @@
   registry: LoadRegistry;
   competing: CompetingRate;
   getDirectory: () => ServerDirectory;
-  getPlacer: () => Pick<FleetPlacer, "takeBroken" | "takeAnswered">;
+  getPlacer: () => Pick<FleetPlacer, "handleBroken" | "handleAnswered">;
   getGuard: () => Pick<RequestGuard, "applyUpdate">;
   getLimits: () => Pick<ServerLimits, "applyUpdate">;
   /** Whether this box has lost the store. */
@@ -42,7 +42,7 @@
 export const toSharedLeaving = (
   { entry }: BackendServer,
   reason: LeavingReason,
-): SharedLeaving => ({ server: entry.id, basis: getLeavingEvidence(reason) });
+): SharedLeaving => ({ server: entry.id, evidence: getLeavingEvidence(reason) });
 
 export const listSharedLeaving = (
   directory: Pick<ServerDirectory, "list">,
@@ -59,10 +59,10 @@
   const applyReport = (server: ServerId, report: EngineReport) => {
     if (report.isLeaving) getDirectory().mark(server, "report", clock.monotonic());
   };
-  const receiveLeaving = ({ server, basis }: SharedLeaving) => {
+  const receiveLeaving = ({ server, evidence }: SharedLeaving) => {
     // A box that reaches the store reads itself whether an entry is gone.
-    if (basis === "entry_gone" && !isOutOfTouch()) return;
-    const reason = basis === "own_word" ? "told_own_word" : "told_by_box";
+    if (evidence === "entry_gone" && !isOutOfTouch()) return;
+    const reason = evidence === "own_word" ? "told_own_word" : "told_by_box";
     getDirectory().mark(server, reason, clock.monotonic());
   };
   /**
@@ -83,9 +83,9 @@
         registry.putReport(server, report, clock.monotonic());
         applyReport(server, report);
       };
-      const { takeBroken: onBroken, takeAnswered: onAnswered } = options.getPlacer();
+      const { handleBroken: onBroken, handleAnswered: onAnswered } = options.getPlacer();
       const sinks = {
-        book: registry,
+        registry,
         onLeaving: receiveLeaving,
         onReport,
         onBroken,
--- a/apps/box/src/suspendedBox.test.ts
+++ b/apps/box/src/suspendedBox.test.ts
@@ -92,8 +92,12 @@
     const hub = { box: "hub" as BoxName, capacity: 1 };
     const asker = createHubAsker({
       clock: toAgingClock(clock),
-      links: { isHub: () => false, listHubs: () => [hub.box], listUp: () => [hub] },
-      onPassedOver: (box) => passedOver.push(box),
+      links: {
+        isHub: () => false,
+        listHubs: () => [hub.box],
+        listConnected: () => [hub],
+      },
+      onEjected: (box) => passedOver.push(box),
     });
     const answered = asker.ask({
       call: async () => {
--- a/apps/daemon/src/createDaemon.ts
+++ b/apps/daemon/src/createDaemon.ts
@@ -95,7 +95,7 @@
     platform,
     clock,
     interval: settings.serverListPollMs as Ms,
-    onMark: (server, isLeaving) => {
+    onLeavingChange: (server, isLeaving) => {
       logger.info({ server, isLeaving }, "server marked by the platform's list");
       metrics.leavingServers.inc(isLeaving ? 1 : -1);
       relay.markServer(server, isLeaving);
@@ -144,7 +144,7 @@
   const hasten = () => {
     graceTimer?.cancel();
     relay.refuseWaiting();
-    answers.sendAllAway();
+    answers.endAllForResume();
   };
   const drain = async () => {
     isStopping = true;
--- a/packages/backoffs/src/serverBackoffs.test.ts
+++ b/packages/backoffs/src/serverBackoffs.test.ts
@@ -28,12 +28,12 @@
     const { clock, backoffs, listKinds } = setUp();
     backoffs.begin(SERVER, toMs(3_000));
     for (let at = 0; at < 3_000; at += 100) {
-      expect(backoffs.mayTake(SERVER, 0)).toBe(false);
-      expect(backoffs.mayTake(OTHER, 9)).toBe(true);
+      expect(backoffs.mayReceive(SERVER, 0)).toBe(false);
+      expect(backoffs.mayReceive(OTHER, 9)).toBe(true);
       clock.advance(toMs(100));
     }
     passBackoff(clock, 3_000);
-    expect(backoffs.mayTake(SERVER, 0)).toBe(true);
+    expect(backoffs.mayReceive(SERVER, 0)).toBe(true);
     expect(listKinds()).toEqual(["asked", "over"]);
   });
 
@@ -42,10 +42,10 @@
     backoffs.begin(SERVER, toMs(3_000));
     backoffs.begin(SERVER, toMs(100));
     clock.advance(toMs(2_900));
-    expect(backoffs.isResting(SERVER)).toBe(true);
+    expect(backoffs.isBackingOff(SERVER)).toBe(true);
     backoffs.begin(SERVER, toMs(3_000));
     clock.advance(toMs(2_900));
-    expect(backoffs.isResting(SERVER)).toBe(true);
+    expect(backoffs.isBackingOff(SERVER)).toBe(true);
     expect(listKinds()).toEqual(["asked", "prolonged"]);
   });
 
@@ -53,17 +53,17 @@
     const { clock, backoffs } = setUp();
     backoffs.begin(SERVER, toMs(Infinity));
     clock.advance(toMs(601_000));
-    expect(backoffs.mayTake(SERVER, 0)).toBe(true);
+    expect(backoffs.mayReceive(SERVER, 0)).toBe(true);
   });
 
   it("allows two exceptional requests per backoff, prolonged or not", () => {
     const { backoffs } = setUp();
-    expect(backoffs.takeSpared(SERVER)).toBe(true);
+    expect(backoffs.takeDuringBackoff(SERVER)).toBe(true);
     backoffs.begin(SERVER, toMs(3_000));
-    expect(backoffs.takeSpared(SERVER)).toBe(true);
+    expect(backoffs.takeDuringBackoff(SERVER)).toBe(true);
     backoffs.begin(SERVER, toMs(9_000));
-    expect(backoffs.takeSpared(SERVER)).toBe(true);
-    expect(backoffs.takeSpared(SERVER)).toBe(false);
+    expect(backoffs.takeDuringBackoff(SERVER)).toBe(true);
+    expect(backoffs.takeDuringBackoff(SERVER)).toBe(false);
   });
 
   it("allows one request after the backoff, and doubles the limit with each answer to a request sent after it", () => {
@@ -71,7 +71,7 @@
     backoffs.begin(SERVER, toMs(1_000));
     passBackoff(clock, 1_000);
     const listAllowed = () =>
-      [0, 1, 2, 4, 8].filter((open) => backoffs.mayTake(SERVER, open));
+      [0, 1, 2, 4, 8].filter((open) => backoffs.mayReceive(SERVER, open));
     expect(listAllowed()).toEqual([0]);
     backoffs.recordAnswer(SERVER, toMs(2_000));
     expect(listAllowed()).toEqual([0]);
@@ -85,12 +85,12 @@
     const { clock, backoffs, listKinds } = setUp();
     backoffs.begin(SERVER, toMs(1_000));
     passBackoff(clock, 1_000);
-    expect(backoffs.mayTake(SERVER, 0)).toBe(true);
+    expect(backoffs.mayReceive(SERVER, 0)).toBe(true);
     backoffs.begin(SERVER, toMs(1_000));
-    expect(backoffs.mayTake(SERVER, 0)).toBe(false);
-    expect(backoffs.listResting()).toEqual([SERVER]);
+    expect(backoffs.mayReceive(SERVER, 0)).toBe(false);
+    expect(backoffs.listBackingOff()).toEqual([SERVER]);
     backoffs.forget(SERVER);
-    expect(backoffs.mayTake(SERVER, 9)).toBe(true);
+    expect(backoffs.mayReceive(SERVER, 9)).toBe(true);
     expect(listKinds()).toEqual(["asked", "over", "asked"]);
   });
 
@@ -119,11 +119,11 @@
     for (const { backoffs } of boxes) backoffs.begin(SERVER, toMs(DURATION));
     const returned = boxes.map(({ clock, backoffs }) => {
       let at = 0;
-      while (!backoffs.mayTake(SERVER, 0)) {
+      while (!backoffs.mayReceive(SERVER, 0)) {
         clock.advance(toMs(10));
         at += 10;
       }
-      expect(backoffs.mayTake(SERVER, 1)).toBe(false);
+      expect(backoffs.mayReceive(SERVER, 1)).toBe(false);
       return at;
     });
     expect(Math.min(...returned)).toBeGreaterThanOrEqual(DURATION);
@@ -151,8 +151,8 @@
           clock.advance(toMs(wait));
           const now = clock.monotonic();
           const isSent = isSpared
-            ? backoffs.takeSpared(SERVER)
-            : backoffs.mayTake(SERVER, 0);
+            ? backoffs.takeDuringBackoff(SERVER)
+            : backoffs.mayReceive(SERVER, 0);
           if (!isSent) continue;
           sent.push(now);
           const duration = answer === "short_rest" ? 400 : 2_000;
--- a/packages/backoffs/src/serverBackoffs.ts
+++ b/packages/backoffs/src/serverBackoffs.ts
@@ -31,12 +31,12 @@
   /** Records an answer without a backoff to a request that was sent `sentAgo` ago. */
   recordAnswer: (server: ServerId, sentAgo: Ms) => void;
   /** Whether the server may be sent a request, given the number of this box's open requests there. */
-  mayTake: (server: ServerId, open: number) => boolean;
-  isResting: (server: ServerId) => boolean;
+  mayReceive: (server: ServerId, open: number) => boolean;
+  isBackingOff: (server: ServerId) => boolean;
   /** Whether the server may be sent one of the few requests allowed during a backoff; always true without a backoff. */
-  takeSpared: (server: ServerId) => boolean;
+  takeDuringBackoff: (server: ServerId) => boolean;
   /** Servers whose backoff is not over. */
-  listResting: () => readonly ServerId[];
+  listBackingOff: () => readonly ServerId[];
   /** Retry delay of a client that was refused because of the backoffs of these servers. */
   computeRetryAfter: (servers: readonly ServerId[]) => Ms;
   forget: (server: ServerId) => void;
@@ -88,7 +88,7 @@
     const backoff = findBackoff(server);
     return backoff?.isOver ? undefined : backoff;
   };
-  const isResting = (server: ServerId) => findActive(server) !== undefined;
+  const isBackingOff = (server: ServerId) => findActive(server) !== undefined;
 
   const recordAnswer: ServerBackoffs["recordAnswer"] = (server, sentAgo) => {
     const backoff = findBackoff(server);
@@ -109,12 +109,12 @@
   return {
     begin,
     recordAnswer,
-    mayTake: (server, open) => {
+    mayReceive: (server, open) => {
       const backoff = findBackoff(server);
       return !backoff || (backoff.isOver && open < backoff.maxOpen);
     },
-    isResting,
-    takeSpared: (server) => {
+    isBackingOff,
+    takeDuringBackoff: (server) => {
       const active = findActive(server);
       if (!active) return true;
       if (active.sentDuringBackoff >= MAX_DURING_BACKOFF) return false;
@@ -124,7 +124,7 @@
       });
       return true;
     },
-    listResting: () => [...backoffs.keys()].filter(isResting),
+    listBackingOff: () => [...backoffs.keys()].filter(isBackingOff),
     computeRetryAfter,
     forget: (server) => void backoffs.delete(server),
   };
--- a/packages/crashes/src/constants.ts
+++ b/packages/crashes/src/constants.ts
@@ -13,7 +13,7 @@
  * Number of crashes from which a box no longer retries a request by itself. Its client may still repeat it, and other boxes then
  * have the crashes on record.
  */
-export const ENDS_TO_STOP_REPEATS = 2;
+export const CRASHES_TO_STOP_RETRIES = 2;
 
 /**
  * Number of crashes of one request from which a hub forwards them to all boxes. Most requests that were running when a server
--- a/packages/crashes/src/mayHaveEnded.ts
+++ b/packages/crashes/src/mayHaveCrashedServer.ts
@@ -3,7 +3,7 @@
 import { MAX_FATAL_RUN_MS, MAX_FATAL_EVENTS } from "./constants.js";
 
 /** The progress of a request when its server broke it off. */
-export type BrokenRun = Readonly<{
+export type InterruptedRun = Readonly<{
   /** Time since the server began to answer; undefined if it had not begun. */
   ranFor: Ms | undefined;
   /** Number of events that the server had sent for the request. */
@@ -11,5 +11,5 @@
 }>;
 
 /** Returns whether the request had only just begun. One that had run for longer did not cause the crash. */
-export const mayHaveEnded = ({ ranFor, events }: BrokenRun): boolean =>
+export const mayHaveCrashedServer = ({ ranFor, events }: InterruptedRun): boolean =>
   (ranFor ?? 0) <= MAX_FATAL_RUN_MS && events <= MAX_FATAL_EVENTS;
--- a/packages/entry/src/answerRegistry.ts
+++ b/packages/entry/src/answerRegistry.ts
@@ -16,7 +16,7 @@
       if (answers.size === 0) resolveEmpty?.();
     },
     count: () => answers.size,
-    sendAllAway: () => {
+    endAllForResume: () => {
       for (const answer of [...answers]) answer.endForResume();
     },
     isOpen: () => isOpen,
--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -63,7 +63,7 @@
   remove: (answer: OpenAnswer) => void;
   count: () => number;
   /** Calls `endForResume` of every open answer. */
-  sendAllAway: () => void;
+  endAllForResume: () => void;
   /** Whether the box accepts new requests. */
   isOpen: () => boolean;
   /** Refuses new requests from now on; resolves once no answer is open. */
--- a/packages/fleet/src/coldLimits.test.ts
+++ b/packages/fleet/src/coldLimits.test.ts
@@ -45,7 +45,7 @@
       places: one,
       bound: BOUND,
       sendWithin: (PLACE_MS + CONNECT_MS) as Ms,
-      spells: { mayBeCold: () => true },
+      coldPeriods: { mayBeCold: () => true },
       findWarmUp: () => ({ duration: 1_000 as Ms, perSecond: PER_SECOND }),
       isPlacedByHubs: () => isPlacedByHubs,
     }),
@@ -245,7 +245,7 @@
       places: createFleetPlaces(clock),
       bound: BOUND,
       sendWithin: 400 as Ms,
-      spells: { mayBeCold: () => false },
+      coldPeriods: { mayBeCold: () => false },
       findWarmUp: () => ({ duration: 1_000 as Ms, perSecond: PER_SECOND }),
       isPlacedByHubs: () => true,
     });
@@ -261,7 +261,7 @@
       places: createFleetPlaces(clock),
       bound: BOUND,
       sendWithin: 400 as Ms,
-      spells: { mayBeCold: () => true },
+      coldPeriods: { mayBeCold: () => true },
       findWarmUp: () => undefined,
       isPlacedByHubs: () => true,
     });
--- a/packages/fleet/src/coldLimits.ts
+++ b/packages/fleet/src/coldLimits.ts
@@ -23,7 +23,7 @@
   /** The longest time from a placement to the sending of its request. */
   sendWithin: Ms;
   places: Pick<FleetPlaces, "computePart">;
-  spells: Pick<ColdPeriods, "mayBeCold">;
+  coldPeriods: Pick<ColdPeriods, "mayBeCold">;
   findWarmUp: (service: ServiceName) => WarmUp | undefined;
   /** Whether hubs place the service's requests for the other boxes. */
   isPlacedByHubs: (service: ServiceName) => boolean;
@@ -45,7 +45,7 @@
  * server that may be cold.
  */
 export const createColdLimits = (options: ColdLimitsOptions): ColdLimits => {
-  const { clock, places, spells, findWarmUp, isPlacedByHubs } = options;
+  const { clock, places, coldPeriods, findWarmUp, isPlacedByHubs } = options;
   const rate = createSendRate(options.sendWithin);
 
   const computeBound = ({ perSecond }: WarmUp): number =>
@@ -54,7 +54,7 @@
   const computeLimit = (warmUp: WarmUp, server: ServerId, service: ServiceName) => {
     const bound = computeBound(warmUp);
     const isPlacedByFirst = isPlacedByHubs(service);
-    if (spells.mayBeCold(server))
+    if (coldPeriods.mayBeCold(server))
       return places.computePart({ whole: bound, server, isPlacedByFirst });
     return isPlacedByFirst ? bound * PART_IF_NOT_KNOWN_COLD : Infinity;
   };
--- a/packages/fleet/src/createPlacer.ts
+++ b/packages/fleet/src/createPlacer.ts
@@ -39,7 +39,7 @@
 /** What placement uses of the backoffs that servers have asked this box for. */
 export type PlacingBackoffs = Pick<
   ServerBackoffs,
-  "computeRetryAfter" | "isResting" | "mayTake" | "takeSpared"
+  "computeRetryAfter" | "isBackingOff" | "mayReceive" | "takeDuringBackoff"
 >;
 
 /** Dependencies of the placer. */
@@ -51,17 +51,17 @@
   way: EngineWay;
   findRegion: (hall: DataHallName) => RegionName | undefined;
   directory: ServerDirectory;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   /**
    * Returns this box's part of the connections that one server of a service accepts from all
    * callers.
    */
   getConnectionShare: (service: ServiceName) => number;
-  rivals: Pick<CompetingRate, "estimate">;
+  competingRate: Pick<CompetingRate, "estimate">;
   cold: Pick<ColdLimits, "mayTake" | "record">;
-  spells: Pick<ColdPeriods, "mayBeCold" | "onUnreachable">;
+  coldPeriods: Pick<ColdPeriods, "mayBeCold" | "onUnreachable">;
   limits: PlacingLimits;
-  rests: PlacingBackoffs;
+  backoffs: PlacingBackoffs;
   /** Called when a server broke off a request of this box before it answered. */
   onBroken: (server: ServerId) => void;
   isAlive: (server: BackendServer) => Promise<boolean>;
@@ -101,8 +101,8 @@
      */
     reserve: (target: BackendServer, run: ActiveRun) => () => void;
     /** Handle another box's report that a server has broken off a request, or has answered one. */
-    takeBroken: (server: ServerId) => void;
-    takeAnswered: (server: ServerId) => void;
+    handleBroken: (server: ServerId) => void;
+    handleAnswered: (server: ServerId) => void;
   }>;
 
 /** A request to be placed, and the servers it has already tried. */
@@ -146,8 +146,17 @@
 };
 
 export const createPlacer = (options: PlacerOptions): FleetPlacer => {
-  const { clock, random, ownHall, directory, book, cold, spells, limits, rests } =
-    options;
+  const {
+    clock,
+    random,
+    ownHall,
+    directory,
+    registry,
+    cold,
+    coldPeriods,
+    limits,
+    backoffs,
+  } = options;
   const createPlacementId = createPlacementIds();
   const suspects = createSuspects();
   /** A data hall of unknown region is in none of the given regions. */
@@ -158,11 +167,11 @@
   };
   const markUnreachable = ({ entry }: BackendServer) => {
     suspects.add(entry.id, clock.monotonic());
-    spells.onUnreachable(entry);
+    coldPeriods.onUnreachable(entry);
   };
 
   const isAvailable = ({ entry }: BackendServer) =>
-    rests.mayTake(entry.id, book.countOpen(entry.id));
+    backoffs.mayReceive(entry.id, registry.countOpen(entry.id));
 
   /** Lists the servers that a request may be sent to, with what remained after each filter step. */
   const listCandidates = (
@@ -174,7 +183,7 @@
       .filter((server) => isInRegions(server, demand.regions));
     const share = options.getConnectionShare(service);
     const untried = ready.filter(
-      ({ entry }) => !except.has(entry.id) && book.countOpen(entry.id) < share,
+      ({ entry }) => !except.has(entry.id) && registry.countOpen(entry.id) < share,
     );
     const warm = untried.filter(({ entry }) => cold.mayTake(entry.id, service));
     const available = owner === "own" ? warm.filter(isAvailable) : warm;
@@ -205,7 +214,7 @@
     });
     const retryAfter =
       reason === "servers_resting"
-        ? rests.computeRetryAfter(warm.map(({ entry }) => entry.id))
+        ? backoffs.computeRetryAfter(warm.map(({ entry }) => entry.id))
         : filtered.retryAfter;
     return { kind: "no_server", reason, known: ready.length, retryAfter };
   };
@@ -215,10 +224,10 @@
     const decision = chooseServer({
       candidates: suspects.filter(candidates.filtered.open, now),
       demand: terms.demand,
-      book,
+      registry,
       ownHall,
       way: options.way,
-      rivals: options.rivals.estimate(now),
+      expectedCompetitors: options.competingRate.estimate(now),
       now,
       random,
     });
@@ -242,18 +251,18 @@
     recordArrival: (service, tier) => limits.recordArrival({ service, tier }),
     recordSend,
     takeAsk: ({ entry }) => {
-      const isTaken = rests.takeSpared(entry.id);
+      const isTaken = backoffs.takeDuringBackoff(entry.id);
       if (isTaken) limits.recordSent(entry, undefined);
       return isTaken;
     },
-    takeContinuation: ({ entry }) => rests.takeSpared(entry.id),
+    takeContinuation: ({ entry }) => backoffs.takeDuringBackoff(entry.id),
     place: (server, head, demand) => {
       const { id } = server.entry;
       const runId = head.id ?? createPlacementId();
-      book.addOpen(id);
+      registry.addOpen(id);
       recordSend(server, demand.tier);
       if (demand.tokens)
-        book.addRun(id, {
+        registry.addRun(id, {
           id: runId,
           promptTokens: demand.tokens.prompt,
           expectedOut: demand.tokens.expectedOut,
@@ -264,23 +273,23 @@
       return () => {
         if (isReleased) return;
         isReleased = true;
-        book.removeOpen(id);
-        book.removeRun(id, runId);
+        registry.removeOpen(id);
+        registry.removeRun(id, runId);
       };
     },
-    countAboard: ({ entry }) =>
-      book.countOpen(entry.id) + book.listPeerRuns(entry.id).length,
+    countRequestsAt: ({ entry }) =>
+      registry.countOpen(entry.id) + registry.listPeerRuns(entry.id).length,
     isLeaving: (server) => isLeaving(directory, server),
     mayTakeWork: (server) =>
       directory.mayTakeWork(server.entry.id) && isAvailable(server),
     mayTakeRuns: ({ entry }) =>
       directory.mayTakeWork(entry.id) &&
       !limits.isLimited(entry.id) &&
-      !rests.isResting(entry.id),
+      !backoffs.isBackingOff(entry.id),
     isInRegions,
     isHallClosed: ({ entry }) => directory.isHallClosed(entry.dataHall),
     getServerStatus: ({ entry }) =>
-      getServerStatus({ directory, book }, entry.id, clock.monotonic()),
+      getServerStatus({ directory, registry }, entry.id, clock.monotonic()),
     isAlive: async (server) => {
       const answers = await options.isAlive(server);
       if (!answers) markUnreachable(server);
@@ -294,10 +303,10 @@
       options.onBroken(entry.id);
     },
     onAnswered: ({ entry }) => suspects.removeBreaks(entry.id),
-    takeBroken: (server) => suspects.addBreak(server, clock.monotonic()),
-    takeAnswered: suspects.removeBreaks,
+    handleBroken: (server) => suspects.addBreak(server, clock.monotonic()),
+    handleAnswered: suspects.removeBreaks,
     onRunBegun: (server, head) => {
-      if (head.id !== undefined) book.markBegun(server.entry.id, head.id);
+      if (head.id !== undefined) registry.markBegun(server.entry.id, head.id);
     },
     listTargets: (source) => {
       const now = clock.monotonic();
@@ -308,12 +317,12 @@
           // been placed elsewhere before.
           ({ entry }) =>
             entry.id !== source.entry.id &&
-            !spells.mayBeCold(entry.id) &&
+            !coldPeriods.mayBeCold(entry.id) &&
             !limits.isLimited(entry.id) &&
-            !rests.isResting(entry.id),
+            !backoffs.isBackingOff(entry.id),
         )
         .map((server) => {
-          const { taken, total } = estimateEngineLoad(server, book, now);
+          const { taken, total } = estimateEngineLoad(server, registry, now);
           return {
             server: server.entry.id,
             takenTokens: taken,
@@ -325,14 +334,14 @@
     reserve: (target, run) => {
       const { id } = target.entry;
       const runId = toCopyId(run.id);
-      book.addRun(id, {
+      registry.addRun(id, {
         id: runId,
         promptTokens: run.getTokens(),
         expectedOut: run.getTokensLeft(),
         hasBegun: true,
         isMovable: false,
       });
-      return () => book.removeRun(id, runId);
+      return () => registry.removeRun(id, runId);
     },
   };
 };
--- a/packages/fleet/src/followConfiguration.ts
+++ b/packages/fleet/src/followConfiguration.ts
@@ -21,7 +21,7 @@
 export type ConfigurationSinkOptions = Readonly<{
   /** Key of the row that holds the newest configuration. */
   key: string;
-  keeper: ConfigurationHolder;
+  holder: ConfigurationHolder;
   decode: (value: Buffer) => Result<FleetConfiguration, unknown>;
   onEvent: (event: ConfigurationEvent) => void;
 }>;
@@ -30,7 +30,7 @@
 export const createConfigurationSink = (
   options: ConfigurationSinkOptions,
 ): FollowerSink => {
-  const { key, keeper, decode, onEvent } = options;
+  const { key, holder, decode, onEvent } = options;
 
   const adopt = (row: StoredRow, asOf: Ms) => {
     const decoded = decode(row.value);
@@ -39,7 +39,7 @@
       return;
     }
     const configuration = decoded.val;
-    const outcome = keeper.adopt(configuration, asOf);
+    const outcome = holder.adopt(configuration, asOf);
     switch (outcome.kind) {
       case "adopted":
         onEvent({ kind: "adopted", configuration });
@@ -72,7 +72,7 @@
     onChanges: (changes, asOf) => {
       const row = findRow(changes);
       if (row) adopt(row, asOf);
-      else keeper.confirm(asOf);
+      else holder.confirm(asOf);
     },
     onFailure: (failure, failuresInARow) => {
       if (failuresInARow === 1) onEvent({ kind: "store_lost", failure });
--- a/packages/fleet/src/getServerStatus.test.ts
+++ b/packages/fleet/src/getServerStatus.test.ts
@@ -16,7 +16,7 @@
     memory: 1_000 as Ms,
     onEvent: () => undefined,
   });
-  const book = createLoadRegistry();
+  const registry = createLoadRegistry();
   const entry = {
     id: SERVER,
     name: "server" as ServerName,
@@ -30,7 +30,7 @@
   };
   directory.put(entry, 0 as Ms);
   if (reason) directory.mark(SERVER, reason, 100 as Ms);
-  return { directory, book };
+  return { directory, registry };
 };
 
 describe("getServerStatus", () => {
@@ -47,17 +47,17 @@
   });
 
   it("returns gone without an age for a server that is no longer listed", () => {
-    const { directory, book } = makeSources("report");
+    const { directory, registry } = makeSources("report");
     directory.dropForgotten(1_200 as Ms);
-    expect(getServerStatus({ directory, book }, SERVER, 1_300 as Ms)).toEqual({
+    expect(getServerStatus({ directory, registry }, SERVER, 1_300 as Ms)).toEqual({
       kind: "gone",
       age: undefined,
     });
   });
 
   it("returns ready with the age of the last report for a server that is not leaving", () => {
-    const { directory, book } = makeSources();
-    const ready = { directory, book };
+    const { directory, registry } = makeSources();
+    const ready = { directory, registry };
     expect(getServerStatus(ready, SERVER, 50 as Ms)).toEqual({
       kind: "ready",
       age: undefined,
@@ -73,7 +73,7 @@
       memoryTotal: 1,
       runs: [],
     };
-    book.putReport(SERVER, report, 40 as Ms);
+    registry.putReport(SERVER, report, 40 as Ms);
     expect(getServerStatus(ready, SERVER, 70 as Ms)).toEqual({ kind: "ready", age: 30 });
   });
 });
--- a/packages/fleet/src/getServerStatus.ts
+++ b/packages/fleet/src/getServerStatus.ts
@@ -7,7 +7,7 @@
 /** Where the status is read from. */
 export type ServerStatusSources = Readonly<{
   directory: Pick<ServerDirectory, "find">;
-  book: Pick<LoadRegistry, "findReport">;
+  registry: Pick<LoadRegistry, "findReport">;
 }>;
 
 /** Leaving reasons that mean that the server's start is no longer running. */
@@ -22,7 +22,7 @@
  * server that doesn't.
  */
 export const getServerStatus = (
-  { directory, book }: ServerStatusSources,
+  { directory, registry }: ServerStatusSources,
   server: ServerId,
   now: Ms,
 ): ServerStatus => {
@@ -34,7 +34,7 @@
     const kind = GONE_REASONS.has(reason) ? "gone" : "leaving";
     return { kind, age: (now - since) as Ms };
   }
-  const reportedAt = book.findReport(server)?.at;
+  const reportedAt = registry.findReport(server)?.at;
   const age = reportedAt === undefined ? undefined : ((now - reportedAt) as Ms);
   return { kind: "ready", age };
 };
--- a/packages/fleet/src/placeHub.test.ts
+++ b/packages/fleet/src/placeHub.test.ts
@@ -41,9 +41,9 @@
 
 /** Creates a hub with some engines of 34,000 tokens each. */
 const setUp = (engines: number, warmUp?: WarmUp) => {
-  const { clock, book, placer } = createTestPlacer(engines, warmUp);
-  const waitingRoom = createWaitQueue(clock);
-  const hub = createPlaceHub({ clock, book, placer, waitingRoom });
+  const { clock, book: registry, placer } = createTestPlacer(engines, warmUp);
+  const waitQueue = createWaitQueue(clock);
+  const hub = createPlaceHub({ clock, registry, placer, waitQueue });
   const { signal } = new AbortController();
   const ask = (asked: PlaceQuestion, by = signal) => hub.answer(asked, by);
   const placeOnAllEngines = async () => {
@@ -52,15 +52,15 @@
       const placed = await ask(asked);
       // The box reports that it uses the place.
       if (placed.kind === "placed")
-        book.putPeerRun("filler", {
+        registry.putPeerRun("filler", {
           server: placed.server.entry.id,
           run: { ...asked.run },
         });
     }
   };
-  const countAt = (id: string) => book.listPeerRuns(id as ServerId).length;
+  const countAt = (id: string) => registry.listPeerRuns(id as ServerId).length;
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
-  return { clock, book, placer, ask, placeOnAllEngines, countAt, advance };
+  return { clock, book: registry, placer, ask, placeOnAllEngines, countAt, advance };
 };
 
 describe("createPlaceHub", () => {
@@ -100,7 +100,7 @@
         lost += 1;
         clock.setTimer(answerTime as Ms, () => {
           book.removePeerRun(asked.box, id, asked.run.id);
-          placer.takeBroken(id);
+          placer.handleBroken(id);
         });
       }
       await advance(gap);
--- a/packages/fleet/src/placeHub.ts
+++ b/packages/fleet/src/placeHub.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock, Ms } from "@stairgauge/common";
 import type { BackendServer } from "@stairgauge/directory";
-import { hasRoomFor, placeWithRoom, type WaitQueue } from "@stairgauge/forwarding";
+import { hasCapacityFor, placeOrWait, type WaitQueue } from "@stairgauge/forwarding";
 import type {
   Demand,
   LoadRegistry,
@@ -20,9 +20,9 @@
 /** Dependencies of the hub. */
 export type PlaceHubOptions = Readonly<{
   clock: Clock;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   placer: Pick<FleetPlacer, "chooseForOther" | "recordArrival" | "recordSend">;
-  waitingRoom: WaitQueue;
+  waitQueue: WaitQueue;
 }>;
 
 /** Answers questions of other boxes. */
@@ -39,7 +39,7 @@
 
 /** Creates the hub. */
 export const createPlaceHub = (options: PlaceHubOptions): PlaceHub => {
-  const { clock, book, placer, waitingRoom } = options;
+  const { clock, registry, placer, waitQueue } = options;
 
   /**
    * Records the run as the box itself would report it, so that it counts for the next question. The
@@ -52,10 +52,10 @@
     const run = { ...askedRun };
     const server = at.entry.id;
     placer.recordSend(at, tier);
-    book.putPeerRun(box, { server, run });
+    registry.putPeerRun(box, { server, run });
     clock.setTimer(CONFIRM_MS, () => {
-      if (book.listPeerRuns(server).includes(run))
-        book.removePeerRun(box, server, run.id);
+      if (registry.listPeerRuns(server).includes(run))
+        registry.removePeerRun(box, server, run.id);
     });
   };
 
@@ -81,13 +81,13 @@
     new Promise<GivenAdvice>((resolve) => {
       const { service, tier } = question;
       const until = (clock.monotonic() + wait) as Ms;
-      const cancelWait = placeWithRoom(
-        { waitingRoom },
+      const cancelWait = placeOrWait(
+        { waitQueue },
         { service, tier, until },
         {
           choose: () => choose(question),
           place: (decision) => resolve(placeFor(question, decision)),
-          tell: () => undefined,
+          report: () => undefined,
         },
       );
       signal.addEventListener("abort", cancelWait, { once: true });
@@ -101,7 +101,7 @@
         return waitForCapacity(question, urgency.wait, signal);
       const decision = choose(question);
       const isPlacedNow =
-        urgency.kind === "at_once" || hasRoomFor(waitingRoom, question, decision);
+        urgency.kind === "at_once" || hasCapacityFor(waitQueue, question, decision);
       if (isPlacedNow) return placeFor(question, decision);
       const memoryAfter = decision.kind === "placed" ? (decision.memoryAfter ?? 0) : 0;
       return { kind: "no_room", memoryAfter };
--- a/packages/fleet/src/placing.testkit.ts
+++ b/packages/fleet/src/placing.testkit.ts
@@ -52,8 +52,8 @@
       },
       0 as Ms,
     );
-  const book = createLoadRegistry();
-  const spells = createColdPeriods({
+  const registry = createLoadRegistry();
+  const coldPeriods = createColdPeriods({
     clock,
     findWarmUp: () => warmUp,
     listServers: directory.list,
@@ -62,13 +62,13 @@
   const cold = createColdLimits({
     clock,
     places,
-    spells,
+    coldPeriods,
     findWarmUp: () => warmUp,
     bound: { overage: 1.5, slack: 5 },
     sendWithin: 400 as Ms,
     isPlacedByHubs: () => true,
   });
-  const rests = createServerBackoffs({ clock, random, onEvent: () => undefined });
+  const backoffs = createServerBackoffs({ clock, random, onEvent: () => undefined });
   const limits = createServerLimits({
     clock,
     agingClock: clock,
@@ -86,15 +86,15 @@
     way: ENGINE_WAYS.short_queue,
     findRegion: (hall) => `region of ${hall}` as RegionName,
     directory,
-    book,
-    rivals: createCompetingRate(),
+    registry,
+    competingRate: createCompetingRate(),
     cold,
-    spells,
-    rests,
+    coldPeriods,
+    backoffs,
     limits,
     getConnectionShare: () => Infinity,
     isAlive: () => Promise.resolve(true),
     onBroken: () => undefined,
   });
-  return { clock, directory, book, rests, limits, placer };
+  return { clock, directory, book: registry, rests: backoffs, limits, placer };
 };
--- a/packages/fleet/src/planMoves.ts
+++ b/packages/fleet/src/planMoves.ts
@@ -26,7 +26,7 @@
 /** Dependencies of the planner. */
 export type MovePlannerOptions = Readonly<{
   clock: Clock;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   reports: Pick<ReportPoller, "ask">;
   listTargets: (source: BackendServer) => readonly MoveTarget[];
   findLink: (server: BackendServer) => CopyLink | undefined;
@@ -61,13 +61,13 @@
 const FACTS_LIFE_MS = 3_000 as Ms;
 
 export const createMovePlanner = (options: MovePlannerOptions): MovePlanner => {
-  const { clock, book, reports, listTargets, findLink, onPlanned } = options;
+  const { clock, registry, reports, listTargets, findLink, onPlanned } = options;
   const factsByServer = new Map<ServerId, Promise<MoveFacts>>();
 
   const collectFacts = async (server: BackendServer): Promise<MoveFacts> => {
     const { id } = server.entry;
     const report = await reports.ask(server);
-    const placed = [...book.listRuns(id), ...book.listPeerRuns(id)];
+    const placed = [...registry.listRuns(id), ...registry.listPeerRuns(id)];
     const runs = listRunsToMove(placed, report);
     onPlanned(server, runs.length);
     return { runs, targets: listTargets(server) };
--- a/packages/fleet/src/pollReports.test.ts
+++ b/packages/fleet/src/pollReports.test.ts
@@ -54,7 +54,7 @@
     clock,
     random,
     directory,
-    book: createLoadRegistry(),
+    registry: createLoadRegistry(),
     actions: { readReport } as EngineActions,
     getInterval: () => interval,
     limit: 500 as Ms,
--- a/packages/fleet/src/pollReports.ts
+++ b/packages/fleet/src/pollReports.ts
@@ -12,7 +12,7 @@
   clock: Clock;
   random: Random;
   directory: ServerDirectory;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   actions: EngineActions;
   /** Returns the present interval at which all boxes together poll an engine. */
   getInterval: () => Ms;
@@ -62,7 +62,8 @@
   startedAt !== entry.startedAt;
 
 export const createReportPoller = (options: ReportPollerOptions): ReportPoller => {
-  const { clock, random, directory, book, actions, getInterval, limit, shares } = options;
+  const { clock, random, directory, registry, actions, getInterval, limit, shares } =
+    options;
   /** The engines, and when this box last polled each on behalf of all boxes. */
   const polled = new Map<ServerId, number>();
   let isStopped = false;
@@ -74,7 +75,7 @@
       directory.mark(server.entry.id, "started_again", clock.monotonic());
       return undefined;
     }
-    book.putReport(server.entry.id, read.val, clock.monotonic());
+    registry.putReport(server.entry.id, read.val, clock.monotonic());
     options.onReport(server, read.val);
     return read.val;
   };
--- a/packages/fleet/src/runExposure.test.ts
+++ b/packages/fleet/src/runExposure.test.ts
@@ -14,7 +14,7 @@
   type MoveTarget,
 } from "@stairgauge/placement";
 import type { EngineTraits } from "@stairgauge/routing";
-import { createExposureJudge } from "./runExposure.js";
+import { createExposureClassifier } from "./runExposure.js";
 
 const ENGINE = "engine" as ServerId;
 const OTHER = "other" as ServerId;
@@ -36,9 +36,9 @@
   isMovable: true,
 });
 
-describe("createExposureJudge", () => {
+describe("createExposureClassifier", () => {
   let directory: ServerDirectory;
-  let book: LoadRegistry;
+  let registry: LoadRegistry;
   let targets: MoveTarget[];
   let traits: EngineTraits | undefined;
 
@@ -53,9 +53,9 @@
   });
   const excluded = new Set<ServerId>();
   const createJudge = () =>
-    createExposureJudge({
+    createExposureClassifier({
       directory,
-      book,
+      registry,
       listTargets: () => targets,
       findTraits: () => traits,
       mayTake: ({ entry }) => !excluded.has(entry.id),
@@ -81,7 +81,7 @@
         },
         0 as Ms,
       );
-    book = createLoadRegistry();
+    registry = createLoadRegistry();
     traits = TRAITS;
     targets = [
       { server: OTHER, takenTokens: 10_000, totalTokens: 34_000, isNear: false },
@@ -91,8 +91,8 @@
       ["b", 3_200],
       ["c", 3_400],
     ] as const)
-      book.addRun(ENGINE, makePlaced(id, tokens));
-    book.putPeerRun("box-2", { server: ENGINE, run: makePlaced("d", 3_600) });
+      registry.addRun(ENGINE, makePlaced(id, tokens));
+    registry.putPeerRun("box-2", { server: ENGINE, run: makePlaced("d", 3_600) });
   });
 
   it("counts the runs of all boxes, so that the last of four in moving order is exposed", () => {
@@ -101,10 +101,10 @@
   });
 
   it("leaves out runs that have a copy elsewhere, except the run in question", () => {
-    book.addRun(OTHER, makePlaced(toCopyId("a"), 3_000));
+    registry.addRun(OTHER, makePlaced(toCopyId("a"), 3_000));
     expect(createJudge().isExposed(makeRun("d"))).toBe(false);
-    book.addRun(OTHER, makePlaced(toCopyId("d"), 3_600));
-    book.removeRun(OTHER, toCopyId("a"));
+    registry.addRun(OTHER, makePlaced(toCopyId("d"), 3_600));
+    registry.removeRun(OTHER, toCopyId("a"));
     expect(createJudge().isExposed(makeRun("d"))).toBe(true);
   });
 
--- a/packages/fleet/src/runExposure.ts
+++ b/packages/fleet/src/runExposure.ts
@@ -25,9 +25,9 @@
 const ASSUMED_COPY_LIFE_MS = 5_000 as Ms;
 
 /** Dependencies of the exposure check. */
-export type ExposureJudgeOptions = Readonly<{
+export type ExposureClassifierOptions = Readonly<{
   directory: ServerDirectory;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   listTargets: (source: BackendServer) => readonly MoveTarget[];
   findTraits: (server: BackendServer) => EngineTraits | undefined;
   /** Whether a server may get the run if it were a new one. */
@@ -35,7 +35,7 @@
 }>;
 
 /** Checks runs by the placements of this box and its peers. */
-export type ExposureJudge = Readonly<{
+export type ExposureClassifier = Readonly<{
   isExposed: (run: ActiveRun) => boolean;
   findTarget: (run: ActiveRun) => BackendServer | undefined;
   getCopyLife: (run: ActiveRun) => Ms;
@@ -47,11 +47,13 @@
   tokensLeft: run.getTokensLeft(),
 });
 
-export const createExposureJudge = (options: ExposureJudgeOptions): ExposureJudge => {
-  const { directory, book, listTargets, findTraits } = options;
+export const createExposureClassifier = (
+  options: ExposureClassifierOptions,
+): ExposureClassifier => {
+  const { directory, registry, listTargets, findTraits } = options;
   const listPlaced = (server: ServerId) => [
-    ...book.listRuns(server),
-    ...book.listPeerRuns(server),
+    ...registry.listRuns(server),
+    ...registry.listPeerRuns(server),
   ];
   const listCopied = (): ReadonlySet<string> =>
     new Set(
@@ -68,7 +70,7 @@
       const traits = findTraits(server);
       if (!traits?.canMove) return false;
       const copied = listCopied();
-      const report = book.findReport(server.entry.id)?.report;
+      const report = registry.findReport(server.entry.id)?.report;
       const runs = listRunsToMove(listPlaced(server.entry.id), report);
       const runsWithoutCopy = runs.filter(({ id }) => id === run.id || !copied.has(id));
       return listExposed({ runs: runsWithoutCopy, link: traits }).includes(run.id);
--- a/packages/forwarding/src/answerHead.testkit.ts
+++ b/packages/forwarding/src/answerHead.testkit.ts
@@ -11,11 +11,11 @@
   isOtherServer: false,
   server: undefined,
   startedAt: undefined,
-  signs: NO_SIGNALS,
+  signals: NO_SIGNALS,
   isEncoded: false,
   contentLength: 2,
   isUnframed: false,
   isEventStream: false,
-  passedOn: [],
+  forwardedHeaders: [],
   ...changes,
 });
--- a/packages/forwarding/src/answerSink.ts
+++ b/packages/forwarding/src/answerSink.ts
@@ -57,7 +57,7 @@
     attempt.reason = reason;
     listener.onHead(answerHead);
     if (isStreamOf(request, answerHead)) {
-      const segment = relay.beginSegment(answerHead.passedOn, reason);
+      const segment = relay.beginSegment(answerHead.forwardedHeaders, reason);
       attempt.body = { kind: "stream", segment };
       listener.onStreamBegun();
       return;
@@ -76,8 +76,8 @@
     if (decideVerdict({ kind: "answered", head: answerHead }, head.id) !== "final")
       return;
     listener.onPassingOn();
-    const { status, passedOn } = answerHead;
-    answer.begin({ status, reason: attempt.reason, headers: passedOn });
+    const { status, forwardedHeaders } = answerHead;
+    answer.begin({ status, reason: attempt.reason, headers: forwardedHeaders });
     attempt.body = { kind: "passed_on" };
     applyPace(!answer.write(Buffer.concat(parts)));
   };
--- a/packages/forwarding/src/askServer.ts
+++ b/packages/forwarding/src/askServer.ts
@@ -67,7 +67,7 @@
   const areStartsKnown = startedAt !== undefined && entry.startedAt !== undefined;
   if (areStartsKnown && startedAt !== entry.startedAt)
     return makeAbsent("it has started again", "ended");
-  return { kind: "present", startedAt, signals: answer.signs };
+  return { kind: "present", startedAt, signals: answer.signals };
 };
 
 /** Resolves with the result; if the body does not end in time, the head alone decides. */
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -70,8 +70,8 @@
   { head, reason, body }: Attempt,
   ownHeaders: RawHeaders,
 ): void => {
-  const { status, passedOn } = head!;
-  const headers = [...passedOn, ...ownHeaders];
+  const { status, forwardedHeaders } = head!;
+  const headers = [...forwardedHeaders, ...ownHeaders];
   const parts = body.kind === "held" ? body.parts : [];
   answer.sendWhole({ status, reason, headers }, Buffer.concat(parts));
 };
--- a/packages/forwarding/src/clientServer.ts
+++ b/packages/forwarding/src/clientServer.ts
@@ -26,9 +26,9 @@
 export type ClientServerOptions = Readonly<{
   handle: (incoming: IncomingMessage, response: ServerResponse) => void;
   /** Largest number of open connections; further ones are closed unread. */
-  mostConnections: number;
+  maxConnections: number;
   /** A client sent an invalid request, or its connection was dropped; `code` is the error code. */
-  onClientFault: (code: string) => void;
+  onClientError: (code: string) => void;
 }>;
 
 /** The HTTP server for clients. */
@@ -82,12 +82,12 @@
   );
   server.headersTimeout = DEFAULT_HEADER_MS;
   server.requestTimeout = 0;
-  server.maxConnections = options.mostConnections;
-  server.on("drop", () => options.onClientFault("too_many_connections"));
+  server.maxConnections = options.maxConnections;
+  server.on("drop", () => options.onClientError("too_many_connections"));
   server.keepAliveTimeout = DEFAULT_IDLE_MS + IDLE_MARGIN_MS;
   server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
     const code = error.code ?? "unknown";
-    options.onClientFault(code);
+    options.onClientError(code);
     rejectMalformed(socket as Socket, code);
   });
 
--- a/packages/forwarding/src/computeDemand.ts
+++ b/packages/forwarding/src/computeDemand.ts
@@ -40,14 +40,14 @@
   const regions = computeRegions(route, workspace?.regions);
   const tier = computeTier({ workspace, route });
   if (route.kind !== "stream" || !head.usage) return { tier, regions, tokens: undefined };
-  const { prompt, mostOut } = head.usage;
-  const guess = head.lengthGuess ?? DEFAULT_EXPECTED_TOKENS;
+  const { prompt, maxOut } = head.usage;
+  const guess = head.lengthEstimate ?? DEFAULT_EXPECTED_TOKENS;
   return {
     tier,
     regions,
     tokens: {
       prompt,
-      expectedOut: Math.min(guess, mostOut || guess),
+      expectedOut: Math.min(guess, maxOut || guess),
       isMovable: !mayRepeat(route),
     },
   };
--- a/packages/forwarding/src/createForwarder.ts
+++ b/packages/forwarding/src/createForwarder.ts
@@ -131,7 +131,7 @@
         refuse(STATUS_OF_REFUSAL[access.reason], access.reason);
         return;
       }
-      if (heldBytes + body.length > deps.mostHeldBytes) {
+      if (heldBytes + body.length > deps.maxHeldBytes) {
         refuse(503, "too_many_bodies_held");
         return;
       }
--- a/packages/forwarding/src/dispatchCall.ts
+++ b/packages/forwarding/src/dispatchCall.ts
@@ -33,7 +33,7 @@
 import { openExchange } from "./openExchange.js";
 import { recordServerSignals } from "./recordServerSignals.js";
 import { placeAgain, placeByAdvice, type PlaceableRequest } from "./placeByAdvice.js";
-import { computePlacingTerms } from "./placeWithRoom.js";
+import { computePlacingTerms } from "./placeOrWait.js";
 import { createRequestAttempts, classifyAttempt } from "./requestAttempts.js";
 import { createStreamRelay } from "./streamRelay.js";
 import type { AnswerHead, DispatchTerms, ExchangeFailure, RawHeaders } from "./types.js";
@@ -277,7 +277,7 @@
     const ended = reports.describeAttemptEnd(attempt, end);
     const verdict = decideVerdict(end, head.id);
     const wasSent = attempt.exchange?.isSent() ?? false;
-    attempts.recordEnd(classifyAttempt(wasSent, verdict, attempt.head?.signs));
+    attempts.recordEnd(classifyAttempt(wasSent, verdict, attempt.head?.signals));
     if (!wasSent) placer.onUnreachable(server);
     else if (end.kind === "failed" && !attempt.head) placer.onBroken(server);
     if (end.kind === "answered" && end.head.isOtherServer) placer.onAddressReused(server);
@@ -405,7 +405,7 @@
     leaveQueue = placeByAdvice(deps, placeable, {
       choose: attempts.choose,
       place: handlePlacement,
-      tell: reports.report,
+      report: reports.report,
     });
 
   return {
--- a/packages/forwarding/src/fitsBeforeStop.test.ts
+++ b/packages/forwarding/src/fitsBeforeStop.test.ts
@@ -19,18 +19,18 @@
   shares: [{ service: "s" as ServiceName, weight: 1 }],
 });
 
-const makeHead = (lengthGuess: number | undefined): RequestHead => ({
+const makeHead = (lengthEstimate: number | undefined): RequestHead => ({
   id: undefined,
   method: "POST",
   target: "/",
   host: "a.example",
   patience: undefined,
   key: undefined,
-  usage: { prompt: 100, mostOut: 2_000 },
-  lengthGuess,
+  usage: { prompt: 100, maxOut: 2_000 },
+  lengthEstimate,
   lastEventId: undefined,
   contentLength: undefined,
-  passedOn: [],
+  forwardedHeaders: [],
 });
 
 const STREAM = makeRoute("stream", 39_000);
--- a/packages/forwarding/src/forwarderTypes.ts
+++ b/packages/forwarding/src/forwarderTypes.ts
@@ -1,6 +1,6 @@
 /** The forwarder's dependencies, its decisions, and the requests that it handles. */
 import type { Clock, Ms, Random, ServiceName } from "@stairgauge/common";
-import type { BrokenRun, RequestDigest, RequestGuard } from "@stairgauge/crashes";
+import type { InterruptedRun, RequestDigest, RequestGuard } from "@stairgauge/crashes";
 import type { BackendServer, ServerId } from "@stairgauge/directory";
 import type { Demand, PlacementDecision, PlacementLimit } from "@stairgauge/placement";
 import type {
@@ -93,7 +93,7 @@
   | (AnswerEnd & { kind: "continuation_refused"; to: ServerId; detail: string })
   /** The server broke the connection; afterwards the box checked whether the server crashed. */
   | (CrashCheck &
-      BrokenRun & {
+      InterruptedRun & {
         kind: "server_broke";
         server: ServerId;
         digest: RequestDigest;
@@ -154,7 +154,7 @@
   /** The server sent the first event of a run. */
   onRunBegun: (server: BackendServer, head: RequestHead) => void;
   /** Number of requests at a server, by this box's records. */
-  countAboard: (server: BackendServer) => number;
+  countRequestsAt: (server: BackendServer) => number;
   /** Whether a server gets no new work because it is about to stop. */
   isLeaving: (server: BackendServer) => boolean;
   /** Current status of a server. */
@@ -184,8 +184,8 @@
   placer: Placer;
   budget: RetryBudget;
   runs: ActiveRuns;
-  waitingRoom: WaitQueue;
-  adviser: PlacementAdvisor;
+  waitQueue: WaitQueue;
+  advisor: PlacementAdvisor;
   runKeeper: RunKeeper;
   guard: Pick<RequestGuard, "getStatus" | "recordCrash" | "recordServed">;
   /** Handles the signals that an answer carries about its server. */
@@ -196,7 +196,7 @@
   /** Timeout for establishing a connection to a server. */
   connectLimit: Ms;
   /** Largest total size of request bodies in memory; requests beyond it are refused without being run. */
-  mostHeldBytes: number;
+  maxHeldBytes: number;
 }>;
 
 /** Dependencies of a dispatch: those of the forwarder, and what all its dispatches share. */
--- a/packages/forwarding/src/guardCall.ts
+++ b/packages/forwarding/src/guardCall.ts
@@ -5,9 +5,9 @@
  */
 import { waitFor, type Ms } from "@stairgauge/common";
 import {
-  ENDS_TO_STOP_REPEATS,
-  mayHaveEnded,
-  type BrokenRun,
+  CRASHES_TO_STOP_RETRIES,
+  mayHaveCrashedServer,
+  type InterruptedRun,
   type RequestDigest,
 } from "@stairgauge/crashes";
 import type { BackendServer, ServerId } from "@stairgauge/directory";
@@ -24,7 +24,7 @@
 
 /** A broken attempt and the state of its server, for the log. */
 export type BrokenAttempt = CrashCheck &
-  BrokenRun &
+  InterruptedRun &
   Readonly<{ digest: RequestDigest; aboard: number }>;
 
 /** Options of the guard. */
@@ -63,21 +63,21 @@
   };
   const mayRepeat = () => {
     const status = guard.getStatus(getDigest, suspectedServers);
-    return status.kind === "unsuspected" || status.ends < ENDS_TO_STOP_REPEATS;
+    return status.kind === "unsuspected" || status.ends < CRASHES_TO_STOP_RETRIES;
   };
 
-  const measureRun = ({ answeredAt, eventsBefore }: Attempt): BrokenRun => ({
+  const measureRun = ({ answeredAt, eventsBefore }: Attempt): InterruptedRun => ({
     ranFor:
       answeredAt === undefined ? undefined : ((clock.monotonic() - answeredAt) as Ms),
     events: countEvents() - eventsBefore,
   });
-  const checkBroken = async (server: BackendServer, run: BrokenRun) => {
+  const checkBroken = async (server: BackendServer, run: InterruptedRun) => {
     const { id } = server.entry;
-    const aboard = placer.countAboard(server);
+    const aboard = placer.countRequestsAt(server);
     const end = await crashDetector.check(server);
     const digest = getDigest();
     if (end.verdict !== "ended") suspectedServers.delete(id);
-    else if (mayHaveEnded(run)) guard.recordCrash({ digest, server: id });
+    else if (mayHaveCrashedServer(run)) guard.recordCrash({ digest, server: id });
     reportBroken(server, { ...end, ...run, digest, aboard });
   };
 
@@ -95,7 +95,7 @@
     onBroken: (attempt) => {
       const { server } = attempt;
       const run = measureRun(attempt);
-      if (mayHaveEnded(run)) suspectedServers.add(server.entry.id);
+      if (mayHaveCrashedServer(run)) suspectedServers.add(server.entry.id);
       void checkBroken(server, run);
     },
     onServed: () => guard.recordServed(getDigest),
--- a/packages/forwarding/src/placeByAdvice.test.ts
+++ b/packages/forwarding/src/placeByAdvice.test.ts
@@ -51,8 +51,8 @@
   };
   const deps = {
     clock,
-    waitingRoom: createWaitQueue(clock),
-    adviser: {
+    waitQueue: createWaitQueue(clock),
+    advisor: {
       isNeeded: () => changes.isNeeded ?? true,
       ask: ({ urgency }: AdviceRequest) => {
         asked.push(urgency);
@@ -65,7 +65,7 @@
   const steps = {
     choose: () => OWN,
     place: (decision: PlacementDecision, by?: string) => placed.push([decision, by]),
-    tell: ({ kind }: { kind: string }) => reported.push(kind),
+    report: ({ kind }: { kind: string }) => reported.push(kind),
   };
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
   return { deps, request, steps, asked, placed, reported, advance };
--- a/packages/forwarding/src/placeByAdvice.ts
+++ b/packages/forwarding/src/placeByAdvice.ts
@@ -8,7 +8,7 @@
 import type { ServerId } from "@stairgauge/directory";
 import type { Demand, PlacementDecision, PlaceUrgency } from "@stairgauge/placement";
 import type { ForwarderDeps } from "./forwarderTypes.js";
-import { placeWithRoom, type PlacingSteps, type PlacingTerms } from "./placeWithRoom.js";
+import { placeOrWait, type PlacingSteps, type PlacingTerms } from "./placeOrWait.js";
 import type { ClientRequestId } from "./types.js";
 
 /** A request for advice. */
@@ -49,7 +49,7 @@
 export type AdvisedSteps = Omit<PlacingSteps, "place"> &
   Readonly<{ place: (decision: PlacementDecision, by?: string) => void }>;
 
-type Deps = Pick<ForwarderDeps, "clock" | "adviser" | "waitingRoom">;
+type Deps = Pick<ForwarderDeps, "clock" | "advisor" | "waitQueue">;
 
 const buildAdviceRequest = (
   request: PlaceableRequest,
@@ -67,24 +67,24 @@
   request: PlaceableRequest,
   steps: AdvisedSteps,
 ): (() => void) => {
-  const { clock, adviser, waitingRoom } = deps;
+  const { clock, advisor, waitQueue } = deps;
   const { terms } = request;
-  const placeHere = () => placeWithRoom({ waitingRoom }, terms, steps);
+  const placeHere = () => placeOrWait({ waitQueue }, terms, steps);
   const adviceRequest = buildAdviceRequest(request);
-  if (!adviceRequest || !adviser.isNeeded()) return placeHere();
+  if (!adviceRequest || !advisor.isNeeded()) return placeHere();
 
   const call = new AbortController();
   let leave = () => call.abort();
   const askWhenFull = (memoryAfter: number) => {
-    steps.tell({ kind: "waits", memoryAfter, waiting: undefined });
+    steps.report({ kind: "waits", memoryAfter, waiting: undefined });
     const wait = Math.max(0, terms.until - clock.monotonic()) as Ms;
-    return adviser.ask(
+    return advisor.ask(
       { ...adviceRequest, urgency: { kind: "within", wait } },
       call.signal,
     );
   };
   const askForPlace = async () => {
-    const first = await adviser.ask(
+    const first = await advisor.ask(
       { ...adviceRequest, urgency: { kind: "if_room" } },
       call.signal,
     );
@@ -101,18 +101,18 @@
 
 /** Places a request again after a failed attempt: at once, even if every engine is full. */
 export const placeAgain = (
-  { adviser }: Pick<Deps, "adviser">,
+  { advisor }: Pick<Deps, "advisor">,
   request: PlaceableRequest,
-  { choose, place }: Omit<AdvisedSteps, "tell">,
+  { choose, place }: Omit<AdvisedSteps, "report">,
 ): (() => void) => {
   const adviceRequest = buildAdviceRequest(request);
-  if (!adviceRequest || !adviser.isNeeded()) {
+  if (!adviceRequest || !advisor.isNeeded()) {
     place(choose());
     return () => undefined;
   }
   const call = new AbortController();
   const urgency = { kind: "at_once" } as const;
-  void adviser.ask({ ...adviceRequest, urgency }, call.signal).then((advice) => {
+  void advisor.ask({ ...adviceRequest, urgency }, call.signal).then((advice) => {
     if (call.signal.aborted) return;
     if (advice?.kind === "decided") place(advice.decision, advice.by);
     else place(choose());
--- a/packages/forwarding/src/placeWithRoom.test.ts
+++ b/packages/forwarding/src/placeOrWait.test.ts
@@ -3,7 +3,7 @@
 import type { BackendServer } from "@stairgauge/directory";
 import type { PlacementDecision } from "@stairgauge/placement";
 import type { Route } from "@stairgauge/routing";
-import { computePlacingTerms, placeWithRoom } from "./placeWithRoom.js";
+import { computePlacingTerms, placeOrWait } from "./placeOrWait.js";
 import { createWaitQueue } from "./waitQueue.js";
 
 const makePlaced = (memoryAfter: number | undefined): PlacementDecision => ({
@@ -27,10 +27,10 @@
     route: { tier: 1, firstAnswerAim: 1_000 as Ms } as Route,
     receivedAt: 0 as Ms,
   };
-  const leave = placeWithRoom(queue, computePlacingTerms(request), {
+  const leave = placeOrWait(queue, computePlacingTerms(request), {
     choose: () => decision,
     place: (chosen) => placed.push(chosen),
-    tell: ({ kind }) => reported.push(kind),
+    report: ({ kind }) => reported.push(kind),
   });
   const change = (next: PlacementDecision) => {
     decision = next;
@@ -40,10 +40,10 @@
 };
 const createQueue = () => {
   const clock = createVirtualClock();
-  return { clock, waitingRoom: createWaitQueue(clock) };
+  return { clock, waitQueue: createWaitQueue(clock) };
 };
 
-describe("placeWithRoom", () => {
+describe("placeOrWait", () => {
   it("places at once if there is capacity, and plain requests always", () => {
     expect(setUp(makePlaced(0.9)).placed).toHaveLength(1);
     expect(setUp(makePlaced(undefined)).placed).toHaveLength(1);
--- a/packages/forwarding/src/placeWithRoom.ts
+++ b/packages/forwarding/src/placeOrWait.ts
@@ -24,7 +24,7 @@
   choose: () => PlacementDecision;
   /** Sends the request to the chosen server, or answers it if there is none. */
   place: (decision: PlacementDecision) => void;
-  tell: (decision: ForwardDecision) => void;
+  report: (decision: ForwardDecision) => void;
 }>;
 
 /** Conditions of a placement. */
@@ -68,30 +68,30 @@
   decision.kind === "placed" ? (decision.memoryAfter ?? 0) : 0;
 
 /** Whether a request may be placed as decided; otherwise it has to wait. */
-export const hasRoomFor = (
-  waitingRoom: WaitQueue,
+export const hasCapacityFor = (
+  waitQueue: WaitQueue,
   { service, tier }: Pick<PlacingTerms, "service" | "tier">,
   decision: PlacementDecision,
 ): boolean => {
   const isGeneration = decision.kind === "placed" && decision.memoryAfter !== undefined;
-  const hasAhead = isGeneration && waitingRoom.hasAhead(service, tier);
+  const hasAhead = isGeneration && waitQueue.hasAhead(service, tier);
   return mayPlace(decision) && !hasAhead;
 };
 
 /** Places the request or queues it; the returned function removes it from the queue. */
-export const placeWithRoom = (
-  { waitingRoom }: Pick<ForwarderDeps, "waitingRoom">,
+export const placeOrWait = (
+  { waitQueue }: Pick<ForwarderDeps, "waitQueue">,
   terms: PlacingTerms,
-  { choose, place, tell }: PlacingSteps,
+  { choose, place, report }: PlacingSteps,
 ): (() => void) => {
   const decision = choose();
-  if (hasRoomFor(waitingRoom, terms, decision)) {
+  if (hasCapacityFor(waitQueue, terms, decision)) {
     place(decision);
     return () => undefined;
   }
   const memoryAfter = getMemoryAfter(decision);
-  tell({ kind: "waits", memoryAfter, waiting: waitingRoom.count() });
-  return waitingRoom.add({
+  report({ kind: "waits", memoryAfter, waiting: waitQueue.count() });
+  return waitQueue.add({
     ...terms,
     attempt: () => {
       const found = choose();
--- a/packages/forwarding/src/recordServerSignals.test.ts
+++ b/packages/forwarding/src/recordServerSignals.test.ts
@@ -29,7 +29,11 @@
     openedAt: 100 as Ms,
     answeredAt: 130 as Ms,
   };
-  recordServerSignals(listener, attempt, makeAnswerHead({ signs: SIGNALS, ...changes }));
+  recordServerSignals(
+    listener,
+    attempt,
+    makeAnswerHead({ signals: SIGNALS, ...changes }),
+  );
   return received;
 };
 
--- a/packages/forwarding/src/recordServerSignals.ts
+++ b/packages/forwarding/src/recordServerSignals.ts
@@ -16,7 +16,7 @@
 export const recordServerSignals = (
   { placer, dispatchSignals }: SignalListener,
   { server, request, openedAt, answeredAt = openedAt }: AnsweredAttempt,
-  { isOtherServer, status, signs: signals }: AnswerHead,
+  { isOtherServer, status, signals }: AnswerHead,
 ): void => {
   placer.onAnswered(server);
   if (isOtherServer) return;
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -10,7 +10,7 @@
 export type RawHeaders = readonly string[];
 
 /** Tokens of a generation as declared by the client: its prompt, and the largest output. */
-export type TokenUsage = Readonly<{ prompt: number; mostOut: number }>;
+export type TokenUsage = Readonly<{ prompt: number; maxOut: number }>;
 
 /** Decoded head of a client's request. */
 export type RequestHead = Readonly<{
@@ -24,12 +24,12 @@
   key: string | undefined;
   usage: TokenUsage | undefined;
   /** The client's estimate of the output tokens, often far off; undefined if not stated. */
-  lengthGuess: number | undefined;
+  lengthEstimate: number | undefined;
   /** Id of the last event that the client received of a stream that it resumes. */
   lastEventId: string | undefined;
   contentLength: number | undefined;
   /** The headers that are forwarded to the server: all but those that the box sets itself. */
-  passedOn: RawHeaders;
+  forwardedHeaders: RawHeaders;
 }>;
 
 /** Where another server fetches the memory (KV cache) of a run that it continues. */
@@ -73,7 +73,7 @@
   /** When the answering server's process started; undefined if the head does not state it. */
   startedAt: Ms | undefined;
   /** Signals about the server itself: limit, backoff, warm-up, leaving. */
-  signs: ServerSignals;
+  signals: ServerSignals;
   /** The body has a content encoding. Servers send none, so something else changed the body. */
   isEncoded: boolean;
   /** Length of the body in bytes, if the head states it. */
@@ -82,7 +82,7 @@
   isUnframed: boolean;
   isEventStream: boolean;
   /** The headers that are forwarded to the client; a requested backoff is left out, as it concerns only this box. */
-  passedOn: RawHeaders;
+  forwardedHeaders: RawHeaders;
 }>;
 
 /** A final answer that the box generates itself. */
--- a/packages/limits/src/gatherRenewals.test.ts
+++ b/packages/limits/src/gatherRenewals.test.ts
@@ -16,7 +16,7 @@
   const sent: LimitUpdate[] = [];
   const collectRenewal = createRenewalGatherer({
     clock,
-    getBook: () => ({
+    getRegistry: () => ({
       makeUpdate: (servers = known) => ({
         named: [...servers]
           .filter((server) => known.has(server))
--- a/packages/limits/src/gatherRenewals.ts
+++ b/packages/limits/src/gatherRenewals.ts
@@ -16,7 +16,7 @@
 /** Dependencies of the renewal batching. */
 export type RenewalOptions = Readonly<{
   clock: Pick<Clock, "setTimer">;
-  getBook: () => Pick<LimitRegistry, "makeUpdate">;
+  getRegistry: () => Pick<LimitRegistry, "makeUpdate">;
   send: (update: LimitUpdate) => void;
 }>;
 
@@ -25,7 +25,7 @@
  * interval ends.
  */
 export const createRenewalGatherer = (options: RenewalOptions) => {
-  const { clock, getBook: getRegistry, send } = options;
+  const { clock, getRegistry, send } = options;
   const servers = new Set<ServerId>();
   let timer: Timer | undefined;
 
--- a/packages/measure/src/crowded/fleet.ts
+++ b/packages/measure/src/crowded/fleet.ts
@@ -10,7 +10,7 @@
 import {
   computePlacingTerms,
   createWaitQueue,
-  placeWithRoom,
+  placeOrWait,
 } from "@stairgauge/forwarding";
 import {
   chooseServer,
@@ -51,8 +51,8 @@
 ): LoadOutcome => {
   const clock = createVirtualClock();
   const random = createSeededRandom(seed);
-  const book = createLoadRegistry();
-  const waitingRoom = createWaitQueue(clock);
+  const registry = createLoadRegistry();
+  const waitQueue = createWaitQueue(clock);
   const engines = new Map<
     string,
     Readonly<{ engine: ModelEngine; server: BackendServer }>
@@ -69,15 +69,15 @@
       id,
       { ...pattern.traits, slowness },
       {
-        onBegun: (run) => book.markBegun(id as ServerId, run.id),
+        onBegun: (run) => registry.markBegun(id as ServerId, run.id),
         onEnded: (run) => {
           all.get(run.id)!.isEnded = true;
-          book.removeRun(id as ServerId, run.id);
+          registry.removeRun(id as ServerId, run.id);
         },
       },
     );
     engines.set(id, { engine, server: toServer(id) });
-    book.putReport(
+    registry.putReport(
       id as ServerId,
       {
         startedAt: undefined,
@@ -110,17 +110,17 @@
       demand: {
         tokens: { prompt: run.prompt, expectedOut: run.guess, isMovable: true },
       },
-      book,
+      registry,
       ownHall: HALL,
       way,
-      rivals: 0,
+      expectedCompetitors: 0,
       now: getNow(),
       random,
     });
   const addAt = (id: string, placed: PlayedRun, readTokens = 0) => {
     const { run } = placed;
     placed.engine = id;
-    book.addRun(id as ServerId, {
+    registry.addRun(id as ServerId, {
       id: run.id,
       promptTokens: run.prompt,
       expectedOut: run.guess,
@@ -130,8 +130,8 @@
     engines.get(id)!.engine.add(run, readTokens);
   };
   const place = (placed: PlayedRun, aimMs: number) =>
-    placeWithRoom(
-      { waitingRoom },
+    placeOrWait(
+      { waitQueue },
       computePlacingTerms({
         service: SERVICE,
         workspace: undefined,
@@ -143,7 +143,7 @@
         place: (decision) => {
           if (decision.kind === "placed") addAt(decision.server.entry.id, placed);
         },
-        tell: () => undefined,
+        report: () => undefined,
       },
     );
 
@@ -170,7 +170,7 @@
     const runs = from.list().filter((run) => run.firstAt !== undefined);
     const targets = listCandidates().map(({ entry }) => ({
       server: entry.id,
-      takenTokens: book
+      takenTokens: registry
         .listRuns(entry.id)
         .reduce((sum, run) => sum + run.promptTokens + run.expectedOut, 0),
       totalTokens: pattern.traits.memory,
@@ -189,7 +189,7 @@
   };
   const endEngine = (id: string) => {
     engines.delete(id);
-    book.drop(id as ServerId);
+    registry.drop(id as ServerId);
     for (const placed of all.values())
       if (placed.engine === id && !placed.isEnded) {
         const [kind] = pattern.kinds.filter(({ name }) => name === placed.run.kind);
--- a/packages/membership/src/serverListWatcher.ts
+++ b/packages/membership/src/serverListWatcher.ts
@@ -14,7 +14,7 @@
   clock: Clock;
   interval: Ms;
   /** Called when the list begins or ceases to name a server as leaving. */
-  onMark: (server: BackendServerName, isLeaving: boolean) => void;
+  onLeavingChange: (server: BackendServerName, isLeaving: boolean) => void;
   onFailure: (failure: ReadFailure) => void;
 }>;
 
@@ -46,8 +46,10 @@
       return;
     }
     const now = listLeaving(listed.val);
-    for (const server of now) if (!leaving.has(server)) options.onMark(server, true);
-    for (const server of leaving) if (!now.has(server)) options.onMark(server, false);
+    for (const server of now)
+      if (!leaving.has(server)) options.onLeavingChange(server, true);
+    for (const server of leaving)
+      if (!now.has(server)) options.onLeavingChange(server, false);
     leaving = now;
   };
   const poller = createPoller({ clock, interval: options.interval, look });
--- a/packages/peers/src/answerTable.ts
+++ b/packages/peers/src/answerTable.ts
@@ -14,13 +14,13 @@
    */
   pulse: TableMirror;
   /** A question that waits for changes is answered before the store has been silent for longer than this. */
-  mostSilence: Ms;
+  maxSilence: Ms;
   /** How long a box that is behind the asker may wait to catch up before it answers; less than the asker's time limit. */
   catchUpWait: Ms;
 }>;
 
 export const answerTable = async (
-  { mirrors, pulse, mostSilence, catchUpWait }: AnswerSources,
+  { mirrors, pulse, maxSilence, catchUpWait }: AnswerSources,
   question: TableQuestion,
 ): Promise<TableAnswer> => {
   const mirror = mirrors.get(question.table);
@@ -34,7 +34,7 @@
     const silence = pulse.getAge();
     return { kind: "whole", rows, revision, age: source.age, silence };
   }
-  const wait = Math.min(question.wait, mostSilence - pulse.getAge()) as Ms;
+  const wait = Math.min(question.wait, maxSilence - pulse.getAge()) as Ms;
   const read = await mirror.awaitChanges({ since: question.since, wait });
   if (read.err) return read.val;
   const { changes, revision, source } = read.val;
--- a/packages/peers/src/applyUpdate.ts
+++ b/packages/peers/src/applyUpdate.ts
@@ -8,7 +8,7 @@
 
 /** Receivers of the parts of an update. */
 export type UpdateSinks = Readonly<{
-  book: LoadRegistry;
+  registry: LoadRegistry;
   onLeaving: (shared: SharedLeaving) => void;
   onReport: (shared: SharedReport) => void;
   onBroken: (server: ServerId) => void;
@@ -20,15 +20,15 @@
 
 /** Applies an update; a whole one replaces all runs on record of the box. */
 export const applyUpdate = (sinks: UpdateSinks, update: RunUpdate): void => {
-  const { book, onLeaving, onReport, onBroken, onAnswered, onCrashes } = sinks;
+  const { registry, onLeaving, onReport, onBroken, onAnswered, onCrashes } = sinks;
   const { box, isWhole, put, drop, leaving, reports, broken } = update;
-  if (isWhole) book.dropPeer(box);
-  for (const placed of put) book.putPeerRun(box, placed);
+  if (isWhole) registry.dropPeer(box);
+  for (const placed of put) registry.putPeerRun(box, placed);
   // The runs in a whole update may have begun long ago.
   const begun = isWhole ? [] : put.filter(({ run }) => run.hasBegun);
   for (const { server } of begun) onAnswered(server);
   for (const server of broken) onBroken(server);
-  for (const { server, id } of drop) book.removePeerRun(box, server, id);
+  for (const { server, id } of drop) registry.removePeerRun(box, server, id);
   for (const shared of leaving) onLeaving(shared);
   for (const shared of reports) onReport(shared);
   onCrashes(update.crashes);
--- a/packages/peers/src/hubAsker.test.ts
+++ b/packages/peers/src/hubAsker.test.ts
@@ -23,9 +23,9 @@
     links: {
       isHub: () => isHub,
       listHubs: () => ["down", "first", "next"].map(toBox),
-      listUp: () => ["next", "first"].map((name) => toEqualMember(toBox(name))),
+      listConnected: () => ["next", "first"].map((name) => toEqualMember(toBox(name))),
     },
-    onPassedOver: (box) => ejected.push(box),
+    onEjected: (box) => ejected.push(box),
   });
   const call: PeerCall<string, string> = (box, question, signal) => {
     asked.push(box);
--- a/packages/peers/src/hubAsker.ts
+++ b/packages/peers/src/hubAsker.ts
@@ -8,9 +8,9 @@
 /** Options of a hub asker. */
 export type HubAskerOptions = Readonly<{
   clock: Clock;
-  links: Pick<PeerLinks, "isHub" | "listHubs" | "listUp">;
+  links: Pick<PeerLinks, "isHub" | "listHubs" | "listConnected">;
   /** A hub did not answer in time, and is not asked for a while. */
-  onPassedOver: (box: BoxName) => void;
+  onEjected: (box: BoxName) => void;
 }>;
 
 /** A question, and the call that sends it. */
@@ -40,14 +40,14 @@
 
 /** Creates a hub asker. */
 export const createHubAsker = (options: HubAskerOptions): HubAsker => {
-  const { clock, links, onPassedOver } = options;
+  const { clock, links, onEjected } = options;
   const ejectedUntil = new Map<BoxName, number>();
 
   const isUsable = (box: BoxName) =>
     (ejectedUntil.get(box) ?? -Infinity) <= clock.monotonic();
   const findHub = () => {
     if (links.isHub()) return undefined;
-    const up = new Set(links.listUp().map(({ box }) => box));
+    const up = new Set(links.listConnected().map(({ box }) => box));
     return links.listHubs().find((box) => up.has(box) && isUsable(box));
   };
 
@@ -66,7 +66,7 @@
       if (read.ok && !isLate) return { answer: read.val, by: hub };
       if (signal.aborted || !isUsable(hub)) return undefined;
       ejectedUntil.set(hub, clock.monotonic() + EJECTION_MS);
-      onPassedOver(hub);
+      onEjected(hub);
       return undefined;
     },
   };
--- a/packages/peers/src/peerLinks.ts
+++ b/packages/peers/src/peerLinks.ts
@@ -47,17 +47,17 @@
   /** Sets the list of all boxes; links to boxes that are gone are closed. An empty list is ignored. */
   setPeers: (peers: readonly Peer[]) => void;
   /** Sends an update over all links that are up. */
-  tell: (update: RunUpdate) => void;
+  send: (update: RunUpdate) => void;
   /** Sends to a few boxes chosen at random, so that an update that all pass on costs only a few calls per box. */
-  tellSome: (update: RunUpdate) => void;
+  sendToSome: (update: RunUpdate) => void;
   /** Asks one box for a table; the call is cancelled when the signal aborts. */
   ask: PeerCall<TableQuestion, TableAnswer>;
   askPlace: PeerCall<PlaceQuestion, PlaceAnswer>;
   askMoves: PeerCall<MovesQuestion, MovesAnswer>;
   /** Closes the link to a box and opens a new one, since its connection no longer brings answers. */
-  renew: (box: BoxName) => void;
+  reopen: (box: BoxName) => void;
   /** Boxes whose link is up. */
-  listUp: () => readonly Member[];
+  listConnected: () => readonly Member[];
   /** Boxes whose link is up or was until a moment ago; to leave the latter out would be to do their work a second time. */
   listReachable: () => readonly Member[];
   /** The hubs as this box sees them. It may be one itself, and is the only one when it is alone. */
@@ -177,7 +177,7 @@
     return downSince !== undefined && clock.monotonic() - downSince > duration;
   };
 
-  const listUp = () =>
+  const listConnected = () =>
     [...links.values()].filter((link) => link.isUp()).map(({ peer }) => peer);
 
   const recordStates = () => {
@@ -185,7 +185,7 @@
     for (const link of links.values())
       link.downSince = link.isUp() ? undefined : (link.downSince ?? now);
     // With no link up, this box itself is cut off.
-    if (links.size < MAX_LINKS || listUp().length === 0) return;
+    if (links.size < MAX_LINKS || listConnected().length === 0) return;
     const lost = [...links.keys()].filter((box) => isDownFor(box, AVOIDED_AFTER_MS));
     for (const box of lost) avoidedUntil.set(box, now + AVOIDED_MS);
   };
@@ -246,22 +246,22 @@
       hubs = { at: -Infinity, boxes: [] };
       if (!checkTimer) checkLinks();
     },
-    tell: (update) => {
+    send: (update) => {
       for (const link of links.values()) link.write(update);
     },
-    tellSome: (update) => {
+    sendToSome: (update) => {
       for (const link of chooseSome([...links.values()])) link.write(update);
     },
     ask: createCall(service.askTable),
     askPlace: createCall(service.askPlace),
     askMoves: createCall(service.askMoves),
-    renew: (box) => {
+    reopen: (box) => {
       const link = links.get(box);
       if (!link) return;
       closeLink(link);
       openLink(link.peer);
     },
-    listUp,
+    listConnected,
     listReachable,
     listHubs: findHubs,
     isHub: () => findHubs().includes(own.box),
--- a/packages/peers/src/peerServer.ts
+++ b/packages/peers/src/peerServer.ts
@@ -27,7 +27,7 @@
 export type PeerServerOptions = Readonly<{
   onUpdate: (update: RunUpdate) => void;
   /** The first notice to a box whose stream has just been opened. */
-  makeGreeting: (box: BoxName) => HubNotice;
+  makeFirstNotice: (box: BoxName) => HubNotice;
   /** The stream of a box has ended: the state that it sent is no longer updated. */
   onPeerLost: (box: BoxName) => void;
   /** Another box asks for a table. */
@@ -70,7 +70,7 @@
   const streams = new Map<BoxName, UpdateStream>();
 
   const sendGreeting = (box: BoxName, stream: UpdateStream) => {
-    const greeting = options.makeGreeting(box);
+    const greeting = options.makeFirstNotice(box);
     if (hasContent(greeting)) stream.write(greeting);
   };
 
--- a/packages/peers/src/peers.test.ts
+++ b/packages/peers/src/peers.test.ts
@@ -96,7 +96,7 @@
 };
 
 const openServer = async (initialCrashes: CrashUpdate = NO_CRASH_UPDATE) => {
-  const book = createLoadRegistry();
+  const registry = createLoadRegistry();
   const lost: string[] = [];
   const leaving: SharedLeaving[] = [];
   const reports: SharedReport[] = [];
@@ -112,7 +112,7 @@
     onUpdate: (update) =>
       applyUpdate(
         {
-          book,
+          registry,
           onLeaving: (shared) => leaving.push(shared),
           onReport: (shared) => reports.push(shared),
           onBroken: (broken) => outcomes.push(`broken ${broken}`),
@@ -122,14 +122,14 @@
         },
         update,
       ),
-    makeGreeting: () => makeNotice({ crashes: initialCrashes }),
+    makeFirstNotice: () => makeNotice({ crashes: initialCrashes }),
     onPeerLost: (box) => {
       lost.push(box);
-      book.dropPeer(box);
+      registry.dropPeer(box);
     },
     answerTable: (question) =>
       answerTable(
-        { mirrors, pulse, mostSilence: MAX_SILENCE, catchUpWait: 0 as Ms },
+        { mirrors, pulse, maxSilence: MAX_SILENCE, catchUpWait: 0 as Ms },
         question,
       ),
     answerPlace: (question, signal) => {
@@ -144,7 +144,7 @@
   const port = await server.listen({ host: "127.0.0.1", port: 0 });
   cleanups.push(server.close);
   return {
-    book,
+    book: registry,
     lost,
     notify: server.notify,
     notifyAll: server.notifyAll,
@@ -168,13 +168,13 @@
   const leaving: SharedLeaving[] = [];
   const notices: HubNotice[] = [];
   const senders: BoxName[] = [];
-  const book = createLoadRegistry((change) => reporter.takeChange(change));
+  const registry = createLoadRegistry((change) => reporter.recordChange(change));
   const reporter = createRunReporter({
     clock,
     own,
-    book,
-    send: (update) => links.tell(update),
-    sendToSome: (update) => links.tellSome(update),
+    registry,
+    send: (update) => links.send(update),
+    sendToSome: (update) => links.sendToSome(update),
     listLeaving: () => leaving,
     listCrashes: () => KNOWN_CRASHES,
     listLimits: () => KNOWN_LIMITS,
@@ -191,7 +191,7 @@
     onMessage: () => undefined,
   });
   cleanups.push(links.close);
-  return { book, links, reporter, leaving, notices, senders };
+  return { book: registry, links, reporter, leaving, notices, senders };
 };
 
 describe("boxes that report their runs to each other", () => {
@@ -226,7 +226,7 @@
 });
 
 describe("boxes that report leaving servers to each other", () => {
-  const sharedLeaving = { server, basis: "concluded" as const };
+  const sharedLeaving = { server, evidence: "concluded" as const };
 
   it("sends the servers that already leave over a new link, and then each further one", async () => {
     const remote = await openServer();
@@ -234,7 +234,7 @@
     local.leaving.push(sharedLeaving);
     local.links.setPeers([remote.peer]);
     await waitFor(() => remote.leaving.length === 1);
-    const next = { server: "e2" as ServerId, basis: "entry_gone" as const };
+    const next = { server: "e2" as ServerId, evidence: "entry_gone" as const };
     local.reporter.reportLeaving(next);
     await waitFor(() => remote.leaving.length === 2);
     expect(remote.leaving).toEqual([sharedLeaving, next]);
@@ -312,7 +312,7 @@
     const remote = await openServer();
     const local = openReporter();
     local.links.setPeers([remote.peer]);
-    await waitFor(() => local.links.listUp().length === 1);
+    await waitFor(() => local.links.listConnected().length === 1);
     local.reporter.reportBroken(server);
     local.book.addRun(server, makeRun("r"));
     local.book.markBegun(server, "r");
@@ -326,7 +326,7 @@
     local.book.addRun(server, makeRun("r"));
     local.links.setPeers([remote.peer]);
     await waitFor(() => remote.book.listPeersAt(server).length === 1);
-    const notice = makeNotice({ leaving: [{ server, basis: "concluded" as const }] });
+    const notice = makeNotice({ leaving: [{ server, evidence: "concluded" as const }] });
     remote.notify(remote.book.listPeersAt(server) as BoxName[], notice);
     await waitFor(() => local.notices.length === 1);
     expect(local.notices).toEqual([notice]);
@@ -337,8 +337,8 @@
     const local = openReporter();
     local.links.setPeers([remote.peer]);
     await waitFor(() => remote.crashes.length === 1);
-    local.reporter.takeCrashes({ ends: [], served: [DIGEST] });
-    local.reporter.takeCrashes(KNOWN_CRASHES);
+    local.reporter.recordCrashes({ ends: [], served: [DIGEST] });
+    local.reporter.recordCrashes(KNOWN_CRASHES);
     await waitFor(() => remote.crashes.length === 2);
     const both = { ends: KNOWN_CRASHES.ends, served: [DIGEST] };
     expect(remote.crashes).toEqual([KNOWN_CRASHES, both]);
@@ -350,8 +350,8 @@
     local.links.setPeers([remote.peer]);
     await waitFor(() => remote.limits.length === 1);
     const lift = { server, age: 20 as Ms };
-    local.reporter.takeLimits({ named: [], lifted: [lift] });
-    local.reporter.takeLimits(KNOWN_LIMITS);
+    local.reporter.recordLimits({ named: [], lifted: [lift] });
+    local.reporter.recordLimits(KNOWN_LIMITS);
     await waitFor(() => remote.limits.length === 2);
     const both = { named: KNOWN_LIMITS.named, lifted: [lift, ...KNOWN_LIMITS.lifted] };
     expect(remote.limits).toEqual([
@@ -439,7 +439,7 @@
     const unanswered = local.links.ask(remote.peer.box, question, cancellation.signal);
     cancellation.abort();
     expect((await unanswered).val).toMatchObject({ kind: "failed" });
-    local.links.renew(remote.peer.box);
+    local.links.reopen(remote.peer.box);
     await waitFor(() => remote.book.listPeerRuns(server).length === 2);
     const { signal } = new AbortController();
     expect((await local.links.ask(remote.peer.box, question, signal)).val).toEqual({
@@ -453,11 +453,13 @@
     const remote = await openServer();
     const local = openReporter();
     local.links.setSeeds([remote.peer.address]);
-    await waitFor(() => local.links.listUp().length === 1);
+    await waitFor(() => local.links.listConnected().length === 1);
     local.links.setPeers([]);
     expect(local.links.count()).toBe(1);
     local.links.setPeers([remote.peer]);
-    await waitFor(() => local.links.listUp().some(({ box }) => box === remote.peer.box));
+    await waitFor(() =>
+      local.links.listConnected().some(({ box }) => box === remote.peer.box),
+    );
     expect(local.links.count()).toBe(1);
   });
 });
@@ -467,7 +469,7 @@
     const remote = await openServer();
     const local = openReporter();
     local.links.setPeers([remote.peer]);
-    local.reporter.takeReport({ server, report: REPORT });
+    local.reporter.recordReport({ server, report: REPORT });
     await waitFor(() => remote.reports.length === 1);
     expect(remote.reports).toEqual([{ server, report: REPORT }]);
   });
@@ -516,7 +518,7 @@
     const remote = await openServer();
     const local = openReporter();
     local.links.setPeers([remote.peer]);
-    await waitFor(() => local.links.listUp().length === 1);
+    await waitFor(() => local.links.listConnected().length === 1);
     const ask = (question: TableQuestion) =>
       local.links.ask(remote.peer.box, question, signal);
     const whole = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
@@ -571,7 +573,7 @@
         ["other", other],
       ]),
       pulse,
-      mostSilence: MAX_SILENCE,
+      maxSilence: MAX_SILENCE,
       catchUpWait: 0 as Ms,
     };
     const whole = await answerTable(sources, {
@@ -594,7 +596,7 @@
     });
     const remote = await openServer();
     local.links.setPeers([remote.peer]);
-    await waitFor(() => local.links.listUp().length === 1);
+    await waitFor(() => local.links.listConnected().length === 1);
     const mirror = createTableMirror(createSystemClock());
     remote.mirrors.set("t", mirror);
     const now = createSystemClock().monotonic();
@@ -710,7 +712,7 @@
   it("decodes an encoded notice unchanged", () => {
     const row = { key: "k", value: Buffer.alloc(5_000, 7), revision: toRevision(4) };
     const notice: HubNotice = {
-      leaving: [{ server, basis: "own_word" }],
+      leaving: [{ server, evidence: "own_word" }],
       crashes: KNOWN_CRASHES,
       limits: KNOWN_LIMITS,
       unsettled: [{ table: "t", era: 2, kept: [row], withheld: [row] }],
@@ -725,7 +727,7 @@
       isWhole: true,
       put: [{ server, run: makeRun("r") }],
       drop: [{ server, id: "q" }],
-      leaving: [{ server, basis: "entry_gone" as const }],
+      leaving: [{ server, evidence: "entry_gone" as const }],
       reports: [
         { server, report: REPORT },
         { server, report: { ...REPORT, leavesIn: undefined } },
--- a/packages/peers/src/runReporter.ts
+++ b/packages/peers/src/runReporter.ts
@@ -14,7 +14,7 @@
   clock: Clock;
   own: BoxName;
   /** Runs of this box by server. */
-  book: LoadRegistry;
+  registry: LoadRegistry;
   /** Sends to all boxes that this box is linked to. */
   send: (update: RunUpdate) => void;
   /** Sends to a few boxes, which pass it on. */
@@ -30,9 +30,9 @@
 /** Reports the runs of one box, and what it learns of servers, to other boxes. */
 export type RunReporter = Readonly<{
   /** A run of this box was added, changed or removed. */
-  takeChange: (change: RunChange) => void;
+  recordChange: (change: RunChange) => void;
   /** An engine has reported to this box. */
-  takeReport: (report: SharedReport) => void;
+  recordReport: (report: SharedReport) => void;
   /** Makes an update with the whole state, for a box that has just been linked to. */
   makeWhole: () => RunUpdate;
   /** A server should get no new work: sent to a few boxes, which pass it on. */
@@ -42,14 +42,14 @@
   /** A server broke off a request: sent at once, since the next placement of any box would choose it. */
   reportBroken: (server: ServerId) => void;
   /** Servers crashed under requests of this box, or such a request was served. */
-  takeCrashes: (update: CrashUpdate) => void;
+  recordCrashes: (update: CrashUpdate) => void;
   /** Servers have named limits in their answers to this box, or lifted them. */
-  takeLimits: (update: LimitUpdate) => void;
+  recordLimits: (update: LimitUpdate) => void;
 }>;
 
 /** Creates a run reporter. */
 export const createRunReporter = (options: RunReporterOptions): RunReporter => {
-  const { clock, own, book, send, sendToSome } = options;
+  const { clock, own, registry, send, sendToSome } = options;
   let pending: RunChange[] = [];
   let reports: SharedReport[] = [];
   let crashes = NO_CRASH_UPDATE;
@@ -100,30 +100,30 @@
   };
 
   return {
-    takeChange: (change) => {
+    recordChange: (change) => {
       pending.push(change);
       schedule();
     },
-    takeReport: (report) => {
+    recordReport: (report) => {
       reports.push(report);
       schedule();
     },
     makeWhole: () =>
       buildUpdate({
         isWhole: true,
-        put: book.listAllRuns(),
+        put: registry.listAllRuns(),
         leaving: options.listLeaving(),
         crashes: options.listCrashes(),
         limits: options.listLimits(),
       }),
-    takeCrashes: ({ ends, served }) => {
+    recordCrashes: ({ ends, served }) => {
       crashes = {
         ends: [...crashes.ends, ...ends],
         served: [...crashes.served, ...served],
       };
       schedule();
     },
-    takeLimits: ({ named, lifted }) => {
+    recordLimits: ({ named, lifted }) => {
       limits = {
         named: [...limits.named, ...named],
         lifted: [...limits.lifted, ...lifted],
--- a/packages/peers/src/sharedKnowledge.testkit.ts
+++ b/packages/peers/src/sharedKnowledge.testkit.ts
@@ -276,9 +276,9 @@
       store: makeStore(box),
       links: {
         countBoxes: () => names.length,
-        renew: () => undefined,
+        reopen: () => undefined,
         listReachable: () => listLinked(toName(box)).map(toEqualMember),
-        listUp: () => listUpFrom(toName(box)),
+        listConnected: () => listUpFrom(toName(box)),
         ask: (name, question, signal) =>
           new Promise((resolve) => {
             const to = names.indexOf(name);
@@ -298,7 +298,7 @@
                 {
                   mirrors: new Map([[TABLE, mirrors[to]!.mirror]]),
                   pulse: mirrors[to]!.mirror,
-                  mostSilence: MAX_SILENCE_MS,
+                  maxSilence: MAX_SILENCE_MS,
                   catchUpWait: (PATIENCE_MS / 2) as Ms,
                 },
                 question,
@@ -311,13 +311,13 @@
             void answerAt();
           }),
       },
-      hearers: 2,
-      mostSilence: MAX_SILENCE_MS,
+      minStoreReaders: 2,
+      maxSilence: MAX_SILENCE_MS,
       relayedWaits: 1.5,
       guard: { table: TABLE, age: GUARD_MS },
       patience: PATIENCE_MS,
       storePatience: 1_000 as Ms,
-      onDistrust: () => undefined,
+      onEjected: () => undefined,
     });
     return createTableFollower({
       table: TABLE,
--- a/packages/peers/src/sharedReader.test.ts
+++ b/packages/peers/src/sharedReader.test.ts
@@ -68,18 +68,18 @@
           signal.addEventListener("abort", end);
         });
       },
-      renew: (box) => renewed.push(box),
-      listUp: () => others,
+      reopen: (box) => renewed.push(box),
+      listConnected: () => others,
       listReachable: () => others,
       countBoxes: () => members.length,
     },
-    hearers: 2,
-    mostSilence: 1_000 as Ms,
+    minStoreReaders: 2,
+    maxSilence: 1_000 as Ms,
     relayedWaits: 1.5,
     guard: { table: "guarded", age: 1_500 as Ms },
     patience: 400 as Ms,
     storePatience: 1_000 as Ms,
-    onDistrust: () => undefined,
+    onEjected: () => undefined,
   });
   const { signal } = new AbortController();
   const follow = (table: string) =>
--- a/packages/peers/src/sharedReader.ts
+++ b/packages/peers/src/sharedReader.ts
@@ -37,11 +37,14 @@
   clock: Clock;
   own: Member;
   store: StoreReader;
-  links: Pick<PeerLinks, "ask" | "listUp" | "listReachable" | "countBoxes" | "renew">;
+  links: Pick<
+    PeerLinks,
+    "ask" | "listConnected" | "listReachable" | "countBoxes" | "reopen"
+  >;
   /** Minimum number of store readers. */
-  hearers: number;
+  minStoreReaders: number;
   /** A box that has received nothing from the store for longer than this has lost it, and is not asked. */
-  mostSilence: Ms;
+  maxSilence: Ms;
   /** How many times longer than the store a box is asked to wait for changes: the store confirms the table to it meanwhile. */
   relayedWaits: number;
   /** The table whose age is bounded by a guarantee, and the age at which the store is asked instead of waiting for a box. */
@@ -51,7 +54,7 @@
   /** The same for the store; a read may take the time of a box and then that of the store. */
   storePatience: Ms;
   /** Called when a box is ejected. */
-  onDistrust: (box: BoxName, reason: EjectionReason) => void;
+  onEjected: (box: BoxName, reason: EjectionReason) => void;
 }>;
 
 /** How long a box that did not answer or has lost the store is not asked; the same for the store after a failure. */
@@ -80,7 +83,7 @@
 
 /** Creates the reader. */
 export const createSharedReader = (options: SharedReaderOptions): StoreReader => {
-  const { clock, own, store, links, patience, mostSilence } = options;
+  const { clock, own, store, links, patience, maxSilence } = options;
   const ejected = new Map<BoxName, Ejection>();
   const openCalls = new Map<BoxName, Set<AbortController>>();
   let storeFailedUntil = -Infinity;
@@ -98,7 +101,7 @@
   const listStoreReaders = () =>
     rankStoreReaders(
       [own, ...links.listReachable()],
-      options.hearers,
+      options.minStoreReaders,
       links.countBoxes(),
     );
 
@@ -114,7 +117,7 @@
   /** The boxes to ask, in order: store readers, then fallback readers; all linked boxes while this box has lost the store. */
   const listCandidates = (): readonly BoxName[] => {
     const storeReaders = listStoreReaders();
-    const up = links.listUp().map(({ box }) => box);
+    const up = links.listConnected().map(({ box }) => box);
     const listIfUp = (boxes: readonly BoxName[]) =>
       boxes.filter((box) => up.includes(box));
     const linkedReaders = listIfUp(storeReaders);
@@ -132,7 +135,7 @@
   /** Whether a link to a store reader is coming up, as when this box has just read the list of boxes. */
   const isLinkExpected = (): boolean => {
     const storeReaders = listStoreReaders();
-    const up = links.listUp().map(({ box }) => box);
+    const up = links.listConnected().map(({ box }) => box);
     return (
       isStoreUsable() &&
       !storeReaders.includes(own.box) &&
@@ -158,7 +161,7 @@
 
   const listUpRanked = () =>
     rankForAsker(
-      links.listUp().map(({ box }) => box),
+      links.listConnected().map(({ box }) => box),
       own.box,
     );
 
@@ -193,14 +196,14 @@
   const ejectBox = (box: BoxName, reason: EjectionReason) => {
     if (!isUsable(box)) return;
     ejected.set(box, { reason, until: clock.monotonic() + EJECTION_MS });
-    options.onDistrust(box, reason);
+    options.onEjected(box, reason);
   };
 
   /** Ejects a box whose call failed, and aborts its other calls: they would fail as well, only later, and continue elsewhere. */
   const abortCalls = (box: BoxName, end: "silent" | "unreachable") => {
     ejectBox(box, "no_answer");
     // A connection that has gone silent stays silent, while a new one may work.
-    if (end === "silent") links.renew(box);
+    if (end === "silent") links.reopen(box);
     for (const call of openCalls.get(box) ?? []) call.abort(end);
   };
 
@@ -246,7 +249,7 @@
   };
 
   const hasLostStore = (answer: TableAnswer) =>
-    "silence" in answer ? answer.silence > mostSilence : answer.kind === "not_known";
+    "silence" in answer ? answer.silence > maxSilence : answer.kind === "not_known";
 
   /** Asks one box, and ejects it if it has lost the store. */
   const askBox = async (
--- a/packages/peers/src/types.ts
+++ b/packages/peers/src/types.ts
@@ -37,7 +37,7 @@
 export type Peer = Member & Readonly<{ address: ServerAddress }>;
 
 /** A server that leaves, and the evidence that the reporting box has. */
-export type SharedLeaving = Readonly<{ server: ServerId; basis: LeavingEvidence }>;
+export type SharedLeaving = Readonly<{ server: ServerId; evidence: LeavingEvidence }>;
 
 /** A report that a box has just received from an engine. */
 export type SharedReport = Readonly<{ server: ServerId; report: EngineReport }>;
--- a/packages/peers/src/updateCodec.ts
+++ b/packages/peers/src/updateCodec.ts
@@ -161,10 +161,10 @@
 const encodeLeaving = (
   leaving: readonly SharedLeaving[],
 ): z.input<typeof leavingSchema> =>
-  leaving.map(({ server, basis }) => ({
+  leaving.map(({ server, evidence }) => ({
     server,
-    gone: basis === "entry_gone",
-    ...(basis === "own_word" && { own: true }),
+    gone: evidence === "entry_gone",
+    ...(evidence === "own_word" && { own: true }),
   }));
 
 const toBasis = (message: Readonly<{ gone: boolean; own: boolean }>): LeavingEvidence => {
@@ -177,7 +177,7 @@
 ): readonly SharedLeaving[] =>
   leaving.map((message) => ({
     server: message.server as ServerId,
-    basis: toBasis(message),
+    evidence: toBasis(message),
   }));
 
 /** Left out of the message when empty. */
--- a/packages/placement/src/chooseServer.test.ts
+++ b/packages/placement/src/chooseServer.test.ts
@@ -56,18 +56,18 @@
 const b = makeServer("b");
 
 const choose = (
-  book: ReturnType<typeof createLoadRegistry>,
+  registry: ReturnType<typeof createLoadRegistry>,
   demand = GENERATION as Parameters<typeof chooseServer>[0]["demand"],
   candidates = [a, b],
-  { rivals = 0, random = createSeededRandom(4) } = {},
+  { rivals: expectedCompetitors = 0, random = createSeededRandom(4) } = {},
 ) => {
   const decision = chooseServer({
     candidates,
     demand,
-    book,
+    registry,
     ownHall: "h" as DataHallName,
     way: ENGINE_WAYS.short_queue,
-    rivals,
+    expectedCompetitors,
     now: 1_000 as Ms,
     random,
   });
--- a/packages/placement/src/chooseServer.ts
+++ b/packages/placement/src/chooseServer.ts
@@ -18,11 +18,11 @@
 export type ChoiceInputs = Readonly<{
   candidates: readonly BackendServer[];
   demand: Pick<Demand, "tokens">;
-  book: LoadRegistry;
+  registry: LoadRegistry;
   ownHall: DataHallName;
   way: EngineWay;
   /** Expected number of placements by other boxes that this box hasn't received yet. */
-  rivals: number;
+  expectedCompetitors: number;
   now: Ms;
   random: Random;
 }>;
@@ -128,7 +128,7 @@
 
 const scorePlain = (server: BackendServer, inputs: ChoiceInputs): Scored => {
   const { entry } = server;
-  const open = inputs.book.countOpen(entry.id);
+  const open = inputs.registry.countOpen(entry.id);
   const way = entry.dataHall === inputs.ownHall ? 0 : OTHER_HALL_COST;
   return {
     server,
@@ -139,16 +139,16 @@
 };
 
 const scoreEngine = (server: BackendServer, inputs: ChoiceInputs): Scored => {
-  const { book, now, random, demand, rivals, way } = inputs;
+  const { registry, now, random, demand, expectedCompetitors, way } = inputs;
   const { backlogWeight } = way;
   const prompt = demand.tokens?.prompt ?? 0;
   const needed = prompt + (demand.tokens?.expectedOut ?? 0);
-  const { taken, backlog, total, reportAge } = estimateEngineLoad(server, book, now);
+  const { taken, backlog, total, reportAge } = estimateEngineLoad(server, registry, now);
   // Boxes with the same figures would all choose the engine that looks emptiest. The load that one
   // placement adds, times the number of boxes that may be choosing now, is the difference of load
   // below which a box can't predict which engine will be emptier.
   const added = (needed + backlogWeight * prompt) / total;
-  const competitors = Math.max(0, rivals - IGNORED_COMPETITORS);
+  const competitors = Math.max(0, expectedCompetitors - IGNORED_COMPETITORS);
   const jitter =
     random.nextFloat() *
     Math.max(MIN_LOAD_JITTER, COMPETITION_SPREAD * competitors * added);
--- a/packages/storefeed/src/restoreGuard.test.ts
+++ b/packages/storefeed/src/restoreGuard.test.ts
@@ -65,8 +65,16 @@
     sink.onChanges(changes, clock.monotonic(), revision);
   const listRows = () => [...rows].map(([key, value]) => `${key} ${value}`).toSorted();
   const pass = (duration: number) => clock.advance(duration as Ms);
-  const { takeUnsettled, listUnsettled } = guard;
-  return { readWhole, change, listRows, pass, reports, takeUnsettled, listUnsettled };
+  const { applyUnsettled, listUnsettled } = guard;
+  return {
+    readWhole,
+    change,
+    listRows,
+    pass,
+    reports,
+    takeUnsettled: applyUnsettled,
+    listUnsettled,
+  };
 };
 
 describe("a table whose store is restored from a backup", () => {
--- a/packages/storefeed/src/restoreGuard.ts
+++ b/packages/storefeed/src/restoreGuard.ts
@@ -23,7 +23,7 @@
   /** Rows in which this box deviates from the store; none except after a restore. */
   listUnsettled: () => UnsettledRows;
   /** Applies the deviating rows of another box, after the first read of the table; ignored if of another era. */
-  takeUnsettled: (received: UnsettledRows) => void;
+  applyUnsettled: (received: UnsettledRows) => void;
 }>;
 
 /** How many keys of dropped rows are kept, the latest ones. */
@@ -182,7 +182,7 @@
     known.delete(row.key);
     notifyInner({ kind: "gone", key: row.key });
   };
-  const takeUnsettled = (received: UnsettledRows) => {
+  const applyUnsettled = (received: UnsettledRows) => {
     if (last === undefined) {
       deferredUnsettled.push(received);
       return;
@@ -207,7 +207,7 @@
         replaceKnown(usedRows);
         inner.onWhole(usedRows, asOf, revision);
         if (isNewEra) onRestored({ ...report, revision, rows: rows.length, isUnsettled });
-        for (const received of deferredUnsettled.splice(0)) takeUnsettled(received);
+        for (const received of deferredUnsettled.splice(0)) applyUnsettled(received);
       },
       onChanges: (changes, asOf, revision) => {
         last = { asOf, revision };
@@ -224,6 +224,6 @@
       kept: [...known.values()].filter(isOfOtherEra),
       withheld: [...withheld.values()],
     }),
-    takeUnsettled,
+    applyUnsettled,
   };
 };
