--- a/packages/measure/src/crowded/fleet.ts
+++ b/packages/measure/src/crowded/fleet.ts
@@ -13,7 +13,7 @@
 import {
   computePlacingTerms,
   createWaitQueue,
-  placeWithRoom,
+  placeOrWait,
 } from "@stairgauge/forwarding";
 import {
   chooseServer,
@@ -55,8 +55,8 @@
 ): LoadOutcome => {
   const clock = createVirtualClock();
   const random = createSeededRandom(seed);
-  const book = createLoadRegistry();
-  const waitingRoom = createWaitQueue(clock);
+  const registry = createLoadRegistry();
+  const waitQueue = createWaitQueue(clock);
   const engines = new Map<
     string,
     Readonly<{ engine: ModelEngine; server: BackendServer }>
@@ -73,7 +73,7 @@
       id,
       { ...pattern.traits, slowness },
       {
-        onBegun: (run) => book.markBegun(id as ServerId, run.id),
+        onBegun: (run) => registry.markBegun(id as ServerId, run.id),
         onEnded: (run) => {
           runsById.get(run.id)!.isEnded = true;
           book.removeRun(id as ServerId, run.id);
@@ -81,7 +81,7 @@
       },
     );
     engines.set(id, { engine, server: toServer(id) });
-    book.putReport(
+    registry.putReport(
       id as ServerId,
       {
         startedAt: undefined,
@@ -114,17 +114,17 @@
       demand: {
         tokens: { prompt: run.prompt, expectedOut: run.guess, isMovable: true },
       },
-      book,
+      registry,
       ownHall: HALL,
       way,
-      rivals: 0,
+      expectedCompetitors: 0,
       now: getNow(),
       random,
     });
   const addAt = (id: string, placed: SimulatedRun, readTokens = 0) => {
     const { run } = placed;
     placed.engine = id;
-    book.addRun(id as ServerId, {
+    registry.addRun(id as ServerId, {
       id: run.id,
       promptTokens: run.prompt,
       expectedOut: run.guess,
@@ -147,7 +147,7 @@
         place: (decision) => {
           if (decision.kind === "placed") addAt(decision.server.entry.id, placed);
         },
-        tell: () => undefined,
+        report: () => undefined,
       },
     );
 
@@ -174,7 +174,7 @@
     const runs = from.list().filter((run) => run.firstAt !== undefined);
     const targets = listCandidates().map(({ entry }) => ({
       server: entry.id,
-      takenTokens: book
+      takenTokens: registry
         .listRuns(entry.id)
         .reduce((sum, run) => sum + run.promptTokens + run.expectedOut, 0),
       totalTokens: pattern.traits.memory,
