--- a/packages/measure/src/crowded/fleet.ts
+++ b/packages/measure/src/crowded/fleet.ts
@@ -76,7 +76,7 @@
         onBegun: (run) => registry.markBegun(id as ServerId, run.id),
         onEnded: (run) => {
           runsById.get(run.id)!.isEnded = true;
-          book.removeRun(id as ServerId, run.id);
+          registry.removeRun(id as ServerId, run.id);
         },
       },
     );
@@ -134,8 +134,8 @@
     engines.get(id)!.engine.add(run, readTokens);
   };
   const place = (placed: SimulatedRun, aimMs: number) =>
-    placeWithRoom(
-      { waitingRoom },
+    placeOrWait(
+      { waitQueue },
       computePlacingTerms({
         service: SERVICE,
         workspace: undefined,
@@ -194,7 +194,7 @@
   };
   const endEngine = (id: string) => {
     engines.delete(id);
-    book.drop(id as ServerId);
+    registry.drop(id as ServerId);
     for (const placed of runsById.values())
       if (placed.engine === id && !placed.isEnded) {
         const [kind] = pattern.kinds.filter(({ name }) => name === placed.run.kind);
