--- a/apps/box/src/answerProofs.test.ts
+++ b/apps/box/src/answerProofs.test.ts
@@ -81,9 +81,9 @@
  * Ends within the stream, with another process listening at the address before the connection
  * closes.
  */
-const sendAndBeReplaced: EngineScript = ({ socket, requestId, leaveAddress }) => {
+const sendAndBeReplaced: EngineScript = ({ socket, requestId, stopListening }) => {
   const { localPort } = socket;
-  leaveAddress();
+  stopListening();
   const next = createServer((taken) => void taken.on("error", () => undefined).resume());
   next.listen(localPort, HOST, () =>
     socket.end(formatStreamHead(requestId) + TWO_EVENTS),
--- a/apps/box/src/box.test.ts
+++ b/apps/box/src/box.test.ts
@@ -323,7 +323,7 @@
     site.putConfiguration({ version: 5 });
     await waitFor(() => lines.some(({ version }) => version === 5));
     site.putConfiguration({ version: 7, tenants: [{ name: "w", apiKeys: ["new"] }] });
-    site.store.giveStaleReads(2);
+    site.store.serveStaleReads(2);
     site.store.compact();
     await waitFor(() => lines.some(({ version }) => version === 7));
     expect((await ask(ports, { path: "/once/" })).status).toBe(401);
--- a/apps/box/src/crashingRequests.test.ts
+++ b/apps/box/src/crashingRequests.test.ts
@@ -49,7 +49,7 @@
         await startCrashSite(crashCase);
       await sendUntilBlocked();
       // Three crashes that count, and those of attempts that ran when the third became known.
-      expect(servers.countEnds()).toBeLessThanOrEqual(MAX_CRASHES);
+      expect(servers.countCrashes()).toBeLessThanOrEqual(MAX_CRASHES);
       const { arrivals, served, crashing } = await countAttempts(fleet);
       expect(arrivals).toBeLessThanOrEqual(ARRIVALS_ALLOWED);
       expect(served).toBe(COUNTED_ATTEMPTS);
--- a/apps/box/src/crashingRequests.testkit.ts
+++ b/apps/box/src/crashingRequests.testkit.ts
@@ -78,7 +78,7 @@
   };
   /** Sends attempts until three servers have crashed, and for the contact time after that. */
   const sendUntilBlocked = async () => {
-    await sendAttempts(fleet, () => servers.countEnds() >= CRASHES_ALLOWED);
+    await sendAttempts(fleet, () => servers.countCrashes() >= CRASHES_ALLOWED);
     await sendAttempts(fleet, (sent) => sent >= CONTACT_MS / ATTEMPT_PAUSE_MS);
   };
   /** Sends attempts and counts those that still reach servers. */
--- a/apps/box/src/createBox.ts
+++ b/apps/box/src/createBox.ts
@@ -4,7 +4,7 @@
   type BoxName,
   type Clock,
   type DataHallName,
-  toAgingClock,
+  toBoottimeClock,
   toHostAndPort,
   type Ms,
   type RegionName,
@@ -114,7 +114,7 @@
     denyWithin: settings.bounds.configurationMs as Ms,
     acceptWithin: computeAcceptWithin(settings.bounds),
   });
-  const agingClock = toAgingClock(clock);
+  const agingClock = toBoottimeClock(clock);
   const configuration = createConfigurationView(holder, agingClock);
   const own = settings.box as BoxName;
   const member = {
--- a/apps/box/src/createLimits.ts
+++ b/apps/box/src/createLimits.ts
@@ -1,7 +1,7 @@
 /**
  * Creates the registry of limits that backend servers announce, to this box or to other boxes.
  */
-import { toAgingClock, type Clock, type ServiceName } from "@stairgauge/common";
+import { toBoottimeClock, type Clock, type ServiceName } from "@stairgauge/common";
 import type { ServerDirectory } from "@stairgauge/directory";
 import {
   createRenewalGatherer,
@@ -40,7 +40,7 @@
   };
   const limits: ServerLimits = createServerLimits({
     clock,
-    agingClock: toAgingClock(clock),
+    agingClock: toBoottimeClock(clock),
     places,
     isPlacedByHubs,
     isListed: (server) => getDirectory().find(server) !== undefined,
--- a/apps/box/src/createMoves.ts
+++ b/apps/box/src/createMoves.ts
@@ -2,7 +2,7 @@
  * Creates the parts that continue runs when their engines leave: plans, standby copies and
  * moves.
  */
-import { toAgingClock, type Clock } from "@stairgauge/common";
+import { toBoottimeClock, type Clock } from "@stairgauge/common";
 import type { BackendServer, ServerDirectory } from "@stairgauge/directory";
 import {
   createExposureClassifier,
@@ -65,7 +65,7 @@
       log.writeDecision("evacuation", { server: server.entry.id, runs: count }),
   });
   const standbys = createStandbyKeeper({
-    clock: toAgingClock(clock),
+    clock: toBoottimeClock(clock),
     actions,
     ...createExposureClassifier({
       directory,
--- a/apps/box/src/endsOfStreams.test.ts
+++ b/apps/box/src/endsOfStreams.test.ts
@@ -13,7 +13,7 @@
 import { once } from "node:events";
 import { connect } from "node:net";
 import { beforeAll, describe, expect, it } from "vitest";
-import { formatWireAsk, type WireAsk } from "@stairgauge/standins";
+import { formatStreamQuery, type WireStreamOptions } from "@stairgauge/standins";
 import { waitFor, type Answer, type Line } from "./box.testkit.js";
 import {
   EVENT_COUNT,
@@ -31,11 +31,11 @@
 
 /** What happens to the server that pauses its answers. */
 type EndCase = Readonly<{
-  ask?: Partial<WireAsk>;
+  ask?: Partial<WireStreamOptions>;
   deadlineMs?: number;
   kinds?: readonly AskKind[];
-  cuts?: readonly WireAsk["cut"][];
-  framings?: readonly WireAsk["framing"][];
+  cuts?: readonly WireStreamOptions["cut"][];
+  framings?: readonly WireStreamOptions["framing"][];
   /** Whether the server keeps running and ends its answers itself. */
   isOwnEnd?: boolean;
   /** Whether nothing shows the box that the server sends no more. */
@@ -199,7 +199,10 @@
 };
 
 /** Whether the part before the cut is all that the server sends, by its own choice. */
-const isServersEnd = (endCase: EndCase, { cut, framing, end }: WireAsk): boolean => {
+const isServersEnd = (
+  endCase: EndCase,
+  { cut, framing, end }: WireStreamOptions,
+): boolean => {
   if (cut === "end") return true;
   if (!endCase.isOwnEnd || (cut !== "boundary" && endCase.kinds !== PLAIN)) return false;
   return framing === "connection" || end === "finish";
@@ -282,13 +285,17 @@
  * Collects the socket events that a raw client gets for an answer that is paused and then
  * ended.
  */
-const collectRawEvents = async (address: string, ask: WireAsk, act: () => unknown) => {
+const collectRawEvents = async (
+  address: string,
+  ask: WireStreamOptions,
+  act: () => unknown,
+) => {
   const [host = "", port] = address.split(":");
   const events: string[] = [];
   const socket = connect({ host, port: Number(port), allowHalfOpen: true });
   const body = ask.isBodyLeft ? "x".repeat(400_000) : "";
   socket.write(
-    `POST /?${formatWireAsk(ask)} HTTP/1.1\r\nRequest-Id: raw\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
+    `POST /?${formatStreamQuery(ask)} HTTP/1.1\r\nRequest-Id: raw\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
   );
   socket.once("data", () => {
     events.push("data");
@@ -321,7 +328,7 @@
 };
 
 describe("the kernel", () => {
-  const ask: WireAsk = {
+  const ask: WireStreamOptions = {
     events: EVENT_COUNT,
     framing: "connection",
     cut: "boundary",
--- a/apps/box/src/joins.testkit.ts
+++ b/apps/box/src/joins.testkit.ts
@@ -225,7 +225,7 @@
     ...LENIENT_KEY_REMOVAL,
     retrySlack: MAX_CALLS,
   });
-  site.allowServers(MAX_SERVERS);
+  site.setMaxAttempts(MAX_SERVERS);
   await waitUntilRead(lines, ENGINES);
   let next = 0;
   const runScript = async (script: Script): Promise<Outcome> => {
--- a/apps/box/src/joinsInSeries.test.ts
+++ b/apps/box/src/joinsInSeries.test.ts
@@ -47,7 +47,7 @@
     retrySlack: MAX_RETRIES,
   });
   await started.start();
-  started.site.allowServers(MAX_SERVERS);
+  started.site.setMaxAttempts(MAX_SERVERS);
   await waitFor(
     () =>
       started.lines.filter(({ event }) => event === "configuration_adopted").length === 2,
--- a/apps/box/src/leavingServers.test.ts
+++ b/apps/box/src/leavingServers.test.ts
@@ -11,7 +11,7 @@
   countSentWhileLeaving,
   LEAVING_MS,
   type LeavingArrival,
-  type SayingChoice,
+  type SignalChoice,
 } from "@stairgauge/standins";
 import {
   ask,
@@ -34,8 +34,8 @@
 } from "./signalSite.testkit.js";
 
 const LEAVING = { lines: ["Server-Leaving: 1"], isRefusal: false };
-const announceLeaving: SayingChoice = () => LEAVING;
-const refuseAsLeaving: SayingChoice = () => ({ ...LEAVING, isRefusal: true });
+const announceLeaving: SignalChoice = () => LEAVING;
+const refuseAsLeaving: SignalChoice = () => ({ ...LEAVING, isRefusal: true });
 
 /** Time in ms for which requests are sent after the server's first announcement. */
 const SENT_MS = LEAVING_MS + 3_000;
--- a/apps/box/src/oddEntries.test.ts
+++ b/apps/box/src/oddEntries.test.ts
@@ -36,7 +36,7 @@
       const { site, ports, lines, start } = await startSite(0, 2);
       await start();
       const [odd, intact] = site.services;
-      site.putOddEntry(odd!.id, entry);
+      site.putRawEntry(odd!.id, entry);
       await waitFor(() => lines.some(isUnusable));
       const before = odd!.listReceived().length;
       for (let i = 0; i < 10; i += 1)
@@ -50,7 +50,7 @@
   it("that is new adds no server, and the box keeps serving", async () => {
     const { site, ports, lines, start } = await startSite(0, 1);
     await start();
-    site.putOddEntry("new", { ...VALID, address: "1.2.3.4:70000" });
+    site.putRawEntry("new", { ...VALID, address: "1.2.3.4:70000" });
     await waitFor(() => lines.some(({ event }) => event === "server_list"));
     for (let i = 0; i < 5; i += 1)
       expect((await ask(ports, { path: "/again/" })).status).toBe(200);
@@ -60,7 +60,7 @@
     const { site, ports, lines, start } = await startSite(1, 0);
     await start();
     const { answered } = await beginDraft(ports);
-    site.putOddEntry(site.engines[0]!.id, { ...VALID, state: 7 });
+    site.putRawEntry(site.engines[0]!.id, { ...VALID, state: 7 });
     await waitFor(() => lines.some(isUnusable));
     expect(await answered).toMatchObject({ status: 200, isWhole: true });
   });
--- a/apps/box/src/regions.test.ts
+++ b/apps/box/src/regions.test.ts
@@ -28,7 +28,7 @@
     "by %s go to no other region",
     async (who) => {
       const { site, ports, lines } = await startTwoRegions();
-      site.keepToRegions(who, ["south"]);
+      site.limitRegions(who, ["south"]);
       await awaitVersion(lines, 2);
       for (let i = 0; i < 8; i += 1) {
         expect((await ask(ports, { path: "/once/" })).status).toBe(200);
@@ -44,7 +44,7 @@
 
   it("are refused as not run if these regions have no server", async () => {
     const { site, ports, lines } = await startTwoRegions();
-    site.keepToRegions("routes", ["west"]);
+    site.limitRegions("routes", ["west"]);
     await awaitVersion(lines, 2);
     const answer = await ask(ports, { path: "/once/" });
     expect(answer.status).toBe(503);
--- a/apps/box/src/restingServers.test.ts
+++ b/apps/box/src/restingServers.test.ts
@@ -9,7 +9,11 @@
  *   {"box":"edge-brest-1","server":"i-a11b","afterMs":3,"status":503,"event":"answered"}
  */
 import { describe, expect, it } from "vitest";
-import { countMostInRest, MAX_IN_REST, type SayingChoice } from "@stairgauge/standins";
+import {
+  countMaxInBackoff,
+  MAX_REQUESTS_IN_BACKOFF,
+  type SignalChoice,
+} from "@stairgauge/standins";
 import { BUSY_MACHINE_TIMEOUT_MS } from "./box.testkit.js";
 import {
   collectAnswers,
@@ -22,10 +26,10 @@
 
 const NOTHING = { lines: [], isRefusal: false };
 const askForBackoff =
-  (seconds: number): SayingChoice =>
+  (seconds: number): SignalChoice =>
   () => ({ lines: [`Retry-After: ${seconds}`], isRefusal: true });
 const askInEverySecondAnswer =
-  (seconds: number): SayingChoice =>
+  (seconds: number): SignalChoice =>
   (answer) =>
     answer % 2 === 0 ? NOTHING : askForBackoff(seconds)(answer);
 
@@ -45,7 +49,7 @@
 type BackoffCase = Readonly<{
   load: SignalCase;
   seconds: number;
-  choose?: (seconds: number) => SayingChoice;
+  choose?: (seconds: number) => SignalChoice;
   resting?: readonly number[];
 }>;
 
@@ -73,7 +77,9 @@
       for (const server of resting) {
         const arrivals = listCounted(servers.listArrivals(server));
         expect(arrivals.length).toBeGreaterThan(0);
-        expect(countMostInRest(arrivals, seconds)).toBeLessThanOrEqual(MAX_IN_REST);
+        expect(countMaxInBackoff(arrivals, seconds)).toBeLessThanOrEqual(
+          MAX_REQUESTS_IN_BACKOFF,
+        );
       }
       await collectAnswers(sent);
       expect(listTurnedAway(fleet).length).toBeLessThan(sent.length * MAX_TURNED_AWAY);
@@ -87,7 +93,7 @@
     const sent = await sendFor(SENT_MS);
     for (const server of ALL) {
       const arrivals = listCounted(servers.listArrivals(server));
-      expect(countMostInRest(arrivals, 3)).toBeLessThanOrEqual(MAX_IN_REST);
+      expect(countMaxInBackoff(arrivals, 3)).toBeLessThanOrEqual(MAX_REQUESTS_IN_BACKOFF);
     }
     const reached = ALL.flatMap((server) => servers.listArrivals(server));
     const ids = new Set(reached.map(({ request }) => request));
--- a/apps/box/src/scripted.testkit.ts
+++ b/apps/box/src/scripted.testkit.ts
@@ -57,8 +57,8 @@
  */
 export const sendUnframed =
   (text: string, isKilled = false): EngineScript =>
-  ({ socket, requestId, leaveAddress }) => {
-    if (isKilled) leaveAddress();
+  ({ socket, requestId, stopListening }) => {
+    if (isKilled) stopListening();
     socket.end(formatStreamHead(requestId) + text);
   };
 /** Sends an answer that is not a stream. */
@@ -74,8 +74,8 @@
  */
 export const sendAndLeave =
   (status: string, body: string, extraHeaders = ""): EngineScript =>
-  ({ socket, requestId, leaveAddress }) => {
-    leaveAddress();
+  ({ socket, requestId, stopListening }) => {
+    stopListening();
     const head = `HTTP/1.1 ${status}\r\nRequest-Id: ${requestId}\r\nResponse-Signature: s\r\n${extraHeaders}\r\n`;
     socket.end(head + body);
   };
--- a/apps/box/src/serverLimitChanges.test.ts
+++ b/apps/box/src/serverLimitChanges.test.ts
@@ -6,8 +6,8 @@
 import { describe, expect, it } from "vitest";
 import { waitMs } from "./box.testkit.js";
 import {
-  computeAllowed,
-  countMostFromTold,
+  computeMaxRequests,
+  countMaxInWindow,
   LIMIT_CONTACT_MS,
 } from "@stairgauge/standins";
 import {
@@ -41,8 +41,8 @@
     const before = await sendFor(2_000);
     setNaming(() => String(PER_SECOND), 0);
     const sent = await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
-    const most = countMostFromTold(listCounted(servers.listArrivals(0)));
-    expect(most).toBeLessThanOrEqual(computeAllowed(PER_SECOND));
+    const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
+    expect(most).toBeLessThanOrEqual(computeMaxRequests(PER_SECOND));
     expect(await collectAnswers([...before, ...sent])).not.toContain(REFUSED);
   });
 
@@ -52,8 +52,8 @@
     await sendFor(LIMIT_CONTACT_MS + 1_000);
     const { lines } = await addBox();
     await sendFor(COUNTED_MS);
-    const most = countMostFromTold(listCounted(servers.listArrivals(0)));
-    expect(most).toBeLessThanOrEqual(computeAllowed(PER_SECOND));
+    const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
+    expect(most).toBeLessThanOrEqual(computeMaxRequests(PER_SECOND));
     const named = lines.find(({ event }) => event === "server_limit_named");
     expect(named).toMatchObject({ perSecond: PER_SECOND });
   });
@@ -62,8 +62,8 @@
     const { servers, fleet, setNaming, sendFor } = await startSignalSite(THREE_BOXES);
     setNaming((answer) => [String(PER_SECOND), undefined, "1.7, 1.9"][answer % 3], 0);
     await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
-    const most = countMostFromTold(listCounted(servers.listArrivals(0)));
-    expect(most).toBeLessThanOrEqual(computeAllowed(PER_SECOND));
+    const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
+    expect(most).toBeLessThanOrEqual(computeMaxRequests(PER_SECOND));
     const lines = fleet.flatMap((box) => box.lines);
     expect(lines.some(({ event }) => event === "server_limit_unreadable")).toBe(true);
     expect(lines.some(({ event }) => event === "server_limit_lifted")).toBe(false);
--- a/apps/box/src/serverLimits.test.ts
+++ b/apps/box/src/serverLimits.test.ts
@@ -9,8 +9,8 @@
  */
 import { describe, expect, it } from "vitest";
 import {
-  computeAllowed,
-  countMostFromTold,
+  computeMaxRequests,
+  countMaxInWindow,
   LIMIT_CONTACT_MS,
 } from "@stairgauge/standins";
 import {
@@ -40,8 +40,8 @@
     const { servers, setNaming, sendFor } = await startSignalSite(signalCase);
     setNaming(() => String(perSecond), 0);
     const sent = await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
-    const most = countMostFromTold(listCounted(servers.listArrivals(0)));
-    expect(most).toBeLessThanOrEqual(computeAllowed(perSecond));
+    const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
+    expect(most).toBeLessThanOrEqual(computeMaxRequests(perSecond));
     // The other servers take the remaining requests, so none is refused.
     expect(await collectAnswers(sent)).not.toContain(REFUSED);
   });
--- a/apps/box/src/serverLimitsOfAll.test.ts
+++ b/apps/box/src/serverLimitsOfAll.test.ts
@@ -5,8 +5,8 @@
  */
 import { describe, expect, it } from "vitest";
 import {
-  computeAllowed,
-  countMostFromTold,
+  computeMaxRequests,
+  countMaxInWindow,
   LIMIT_CONTACT_MS,
 } from "@stairgauge/standins";
 import {
@@ -39,8 +39,8 @@
       const sent = await sendFor(COUNTED_MS);
       for (const server of ALL) {
         const arrivals = servers.listArrivals(server);
-        expect(countMostFromTold(listCounted(arrivals))).toBeLessThanOrEqual(
-          computeAllowed(PER_SECOND),
+        expect(countMaxInWindow(listCounted(arrivals))).toBeLessThanOrEqual(
+          computeMaxRequests(PER_SECOND),
         );
         const counted = arrivals.filter(({ at }) => at >= sent[0]!.sentAt);
         // How much of the limit is used depends on the machine's speed; unit tests check it on
--- a/apps/box/src/signalSite.testkit.ts
+++ b/apps/box/src/signalSite.testkit.ts
@@ -3,15 +3,15 @@
  * backoff) in their answers.
  */
 import {
-  startSignServers,
+  startSignalServers,
   startUsersSite,
   type CountedArrival,
   type LeavingArrival,
-  type SignArrival,
-  type SignServerKind,
-  type SignServers,
-  type LimitNaming,
-  type SayingChoice,
+  type SignalArrival,
+  type SignalServerKind,
+  type SignalServers,
+  type LimitChoice,
+  type SignalChoice,
   type UsersSite,
 } from "@stairgauge/standins";
 import {
@@ -38,7 +38,7 @@
 /** The requested route, the kind of its servers, and the load. */
 export type SignalCase = Readonly<{
   path: string;
-  kind: SignServerKind;
+  kind: SignalServerKind;
   boxes: number;
   /** Requests per second over all boxes. */
   perSecond: number;
@@ -55,12 +55,12 @@
 
 /** The request id contains the index of the box that sends it. */
 const formatRequestId = (box: number, sequence: number) => `${box}-${sequence}`;
-const findSender = ({ request }: SignArrival) => Number(request.split("-")[0]);
+const findSender = ({ request }: SignalArrival) => Number(request.split("-")[0]);
 
 /** Adds to a server's requests the boxes that sent them. */
 export const listCounted = (
-  arrivals: readonly SignArrival[],
-): readonly (CountedArrival & SignArrival)[] =>
+  arrivals: readonly SignalArrival[],
+): readonly (CountedArrival & SignalArrival)[] =>
   arrivals.map((arrival) => ({ ...arrival, box: findSender(arrival) }));
 
 /**
@@ -68,7 +68,7 @@
  * them.
  */
 export const listWithSending = (
-  arrivals: readonly SignArrival[],
+  arrivals: readonly SignalArrival[],
   sent: readonly SentRequest[],
 ): readonly LeavingArrival[] => {
   const sentAt = new Map(sent.map((one) => [one.id, one.sentAt]));
@@ -130,14 +130,14 @@
 /** A site with its servers and boxes, and functions that control them. */
 export type SignalSite = Readonly<{
   site: UsersSite;
-  servers: SignServers;
+  servers: SignalServers;
   fleet: FleetBox[];
   /** Sends requests to the boxes in turn for a duration in ms. */
   sendFor: (duration: number) => Promise<readonly SentRequest[]>;
   /** Makes the servers announce this limit. */
-  setNaming: (naming: LimitNaming, ...which: readonly number[]) => void;
+  setNaming: (naming: LimitChoice, ...which: readonly number[]) => void;
   /** Makes the servers send these signals in their answers. */
-  setSaying: (choose: SayingChoice, ...which: readonly number[]) => void;
+  setSaying: (choose: SignalChoice, ...which: readonly number[]) => void;
   addBox: () => Promise<FleetBox>;
 }>;
 
@@ -151,7 +151,7 @@
 }: SignalCase): Promise<SignalSite> => {
   const site = await startUsersSite({ engines: 0, services: 0 });
   closers.push(site.close);
-  const servers = await startSignServers({
+  const servers = await startSignalServers({
     kind,
     count: SERVERS,
     putEntry: kind === "engine" ? site.putEngine : site.putService,
@@ -186,10 +186,10 @@
     return sent;
   };
   const setNaming: SignalSite["setNaming"] = (naming, ...which) => {
-    for (const server of which) servers.setNaming(server, naming);
+    for (const server of which) servers.setLimit(server, naming);
   };
   const setSaying: SignalSite["setSaying"] = (choose, ...which) => {
-    for (const server of which) servers.setSaying(server, choose);
+    for (const server of which) servers.setSignal(server, choose);
   };
   const addBox = async () => {
     const box = await start();
--- a/apps/box/src/storeDrill.testkit.ts
+++ b/apps/box/src/storeDrill.testkit.ts
@@ -41,7 +41,7 @@
 ): Promise<void> => {
   const { store } = site;
   const copy = store.copy();
-  store.spendVersions(drill.lostVersions);
+  store.advanceRevision(drill.lostVersions);
   // The change of the configuration makes the boxes read the new versions.
   site.putConfiguration();
   doLostWork(site);
@@ -49,6 +49,6 @@
   if (drill.awayMs > 0) store.setMode(drill.mode);
   await waitMs(drill.awayMs);
   store.restore(copy);
-  store.spendVersions(drill.regainedVersions);
+  store.advanceRevision(drill.regainedVersions);
   store.setMode("up");
 };
--- a/apps/box/src/suspendedBox.test.ts
+++ b/apps/box/src/suspendedBox.test.ts
@@ -8,7 +8,7 @@
 import {
   createSystemClock,
   Ok,
-  toAgingClock,
+  toBoottimeClock,
   type BoxName,
   type Clock,
   type Ms,
@@ -79,7 +79,7 @@
 
   it("counts the suspended time in the age of its rows", () => {
     const { clock, passSuspended } = createSuspendableClock();
-    const aging = toAgingClock(clock);
+    const aging = toBoottimeClock(clock);
     const mirror = createTableMirror(aging);
     mirror.observe(SINK).onWhole([], aging.monotonic(), makeRevision(1, 1));
     passSuspended(SUSPENDED_MS);
@@ -91,7 +91,7 @@
     const passedOver: string[] = [];
     const hub = { box: "hub" as BoxName, capacity: 1 };
     const asker = createHubAsker({
-      clock: toAgingClock(clock),
+      clock: toBoottimeClock(clock),
       links: {
         isHub: () => false,
         listHubs: () => [hub.box],
--- a/apps/box/src/wireEngines.testkit.ts
+++ b/apps/box/src/wireEngines.testkit.ts
@@ -1,11 +1,11 @@
 /** Test helpers that start a box in front of engines which run as separate processes. */
 import {
   formatEngineEvent,
-  formatWireAsk,
+  formatStreamQuery,
   startUsersSite,
   type UsersSite,
-  type WireBirthPlace,
-  type WireAsk,
+  type StartTimeLocation,
+  type WireStreamOptions,
 } from "@stairgauge/standins";
 import { spawnStandin, type StandinProcess } from "@stairgauge/testkit";
 import {
@@ -50,7 +50,7 @@
 export type AskKind = "resumable" | "once" | "plain again" | "plain once";
 
 /** A request whose answer is paused by the server. */
-export type HeldAsk = Readonly<{ id: string; kind: AskKind; ask: WireAsk }>;
+export type HeldAsk = Readonly<{ id: string; kind: AskKind; ask: WireStreamOptions }>;
 
 /** A paused request and its answer. */
 export type HeldStream = HeldAsk & Readonly<{ answer: Promise<Answer> }>;
@@ -106,7 +106,7 @@
   isPlain ? site.putService(id, address) : site.putEngine(id, address, "ready", born);
 
 /** Start time of an engine in Unix ms, and the part of its answers that contains it. */
-export type EngineBirth = Readonly<{ at: number; saidIn: WireBirthPlace }>;
+export type EngineBirth = Readonly<{ at: number; saidIn: StartTimeLocation }>;
 
 /** Options of a site with paused streams. */
 export type HeldChanges = Readonly<{
@@ -142,7 +142,7 @@
   const streams = asks.map((one) => ({
     ...one,
     answer: ask(ports, {
-      path: `${PATHS[one.kind]}?${formatWireAsk(one.ask)}`,
+      path: `${PATHS[one.kind]}?${formatStreamQuery(one.ask)}`,
       id: one.id,
       body: one.ask.isBodyLeft ? LARGE_BODY : "hello",
       deadlineMs,
--- a/apps/daemon/src/processes.test.ts
+++ b/apps/daemon/src/processes.test.ts
@@ -6,7 +6,7 @@
 import {
   createProcessSite,
   readStream,
-  type CallerAsk,
+  type StreamRequest,
   type ProcessSite,
   type ProcessSiteOptions,
 } from "@stairgauge/testkit";
@@ -21,7 +21,7 @@
 
 const readAnswer = (
   length: number,
-  options: Partial<CallerAsk> = {},
+  options: Partial<StreamRequest> = {},
 ): Promise<Awaited<ReturnType<typeof readStream>>> =>
   readStream({
     url: site.boxes[0]!.url,
--- a/apps/daemon/src/standinsMain.ts
+++ b/apps/daemon/src/standinsMain.ts
@@ -33,7 +33,7 @@
   SITE_KEY,
   startUsersSite,
   startWireEngine,
-  type WireBirthPlace,
+  type StartTimeLocation,
 } from "@stairgauge/standins";
 
 const LOOPBACK = "127.0.0.1";
@@ -162,7 +162,7 @@
       description: "its start, in Unix milliseconds",
     }),
     bornIn: option({
-      type: oneOf<WireBirthPlace>(["header", "body", "report"]),
+      type: oneOf<StartTimeLocation>(["header", "body", "report"]),
       long: "born-in",
       description: "where it says so",
       defaultValue: () => "body" as const,
@@ -170,14 +170,14 @@
   },
   handler: async ({ born, bornIn, ...args }) => {
     const onHeld = (request: string) => process.stdout.write(`held ${request}\n`);
-    const { address, releaseHeld, leaveAddress } = await startWireEngine({
+    const { address, releaseHeld, stopListening } = await startWireEngine({
       ...args,
-      birth: born === undefined ? undefined : { at: born, saidIn: bornIn },
+      startTime: born === undefined ? undefined : { at: born, reportedIn: bornIn },
       onHeld,
     });
     process.on("SIGUSR2", releaseHeld);
     process.on("SIGHUP", () => {
-      leaveAddress();
+      stopListening();
       process.stdout.write("left its address\n");
     });
     process.on("SIGTERM", () => process.exit(0));
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -24,7 +24,7 @@
 }>;
 
 /** A view of the clock whose `monotonic` is `boottime`, for code that uses time only to check the age of data. */
-export const toAgingClock = (clock: Clock): Clock => ({
+export const toBoottimeClock = (clock: Clock): Clock => ({
   ...clock,
   monotonic: clock.boottime,
 });
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -5,7 +5,7 @@
 export { assertNever } from "./assertNever.js";
 export { Err, Ok } from "./result.js";
 export type { Result } from "./result.js";
-export { createSystemClock, toAgingClock } from "./clock.js";
+export { createSystemClock, toBoottimeClock } from "./clock.js";
 export type { Clock, Timer } from "./clock.js";
 export { createVirtualClock } from "./virtualClock.js";
 export type { VirtualClock } from "./virtualClock.js";
--- a/packages/common/src/poller.ts
+++ b/packages/common/src/poller.ts
@@ -9,14 +9,14 @@
 export const createPoller = (options: {
   readonly clock: Clock;
   readonly interval: Ms;
-  readonly look: () => Promise<unknown>;
+  readonly poll: () => Promise<unknown>;
 }): Poller => {
-  const { clock, interval, look } = options;
+  const { clock, interval, poll } = options;
   let timer: Timer | undefined;
   let isStopped = false;
 
   const pollOnce = async () => {
-    await look();
+    await poll();
     if (!isStopped) timer = clock.setTimer(interval, () => void pollOnce());
   };
 
--- a/packages/limits/src/limitedFleet.testkit.ts
+++ b/packages/limits/src/limitedFleet.testkit.ts
@@ -77,9 +77,9 @@
 }>;
 
 /**
- * A request as received by the server. `isTold` is set if the server names its limit at that time.
+ * A request as received by the server. `hasSignal` is set if the server names its limit at that time.
  */
-export type FleetArrival = Readonly<{ box: number; at: number; isTold: boolean }>;
+export type FleetArrival = Readonly<{ box: number; at: number; hasSignal: boolean }>;
 
 type FleetBox = Readonly<{
   limits: ServerLimits;
@@ -152,16 +152,16 @@
   const fleet: readonly FleetBox[] = listed.map(makeBox);
   fleet.forEach((box, rank) => box.setPlace(rank, boxes));
 
-  const answer = (index: number, sentAt: number, isTold: boolean) => {
-    const signal = isTold ? { kind: "named" as const, perSecond } : UNNAMED;
+  const answer = (index: number, sentAt: number, hasSignal: boolean) => {
+    const signal = hasSignal ? { kind: "named" as const, perSecond } : UNNAMED;
     const sentAgo = (getNow() - sentAt) as Ms;
     fleet[index]!.limits.applySignal(SERVER.entry.id, signal, sentAgo);
   };
   const receiveRequest = (index: number, sentAt: number) => {
     const at = getNow();
-    const isTold = at >= LIMIT_NAMED_AT_MS && at < (scenario.unnamedAt ?? Infinity);
-    arrivals.push({ box: index, at, isTold });
-    callAfterRandomDelay(ANSWER_MS, () => answer(index, sentAt, isTold));
+    const hasSignal = at >= LIMIT_NAMED_AT_MS && at < (scenario.unnamedAt ?? Infinity);
+    arrivals.push({ box: index, at, hasSignal });
+    callAfterRandomDelay(ANSWER_MS, () => answer(index, sentAt, hasSignal));
   };
   const send = (index: number) => {
     const { limits, isFrozen } = fleet[index]!;
--- a/packages/limits/src/serverLimits.test.ts
+++ b/packages/limits/src/serverLimits.test.ts
@@ -7,7 +7,7 @@
  */
 import { describe, expect, it } from "vitest";
 import fc from "fast-check";
-import { computeAllowed, countMostFromTold } from "@stairgauge/standins";
+import { computeMaxRequests, countMaxInWindow } from "@stairgauge/standins";
 import {
   LIMIT_NAMED_AT_MS,
   runLimitedFleet,
@@ -59,8 +59,8 @@
               requestsPerSecond,
               ...faults,
             });
-            const worstCount = countMostFromTold(runLimitedFleet(scenario));
-            expect(worstCount).toBeLessThanOrEqual(computeAllowed(perSecond));
+            const worstCount = countMaxInWindow(runLimitedFleet(scenario));
+            expect(worstCount).toBeLessThanOrEqual(computeMaxRequests(perSecond));
           },
         ),
         { seed: 41, numRuns: boxes > 100 ? 20 : 60 },
@@ -79,8 +79,8 @@
           (seed, perSecond, overload) => {
             const requestsPerSecond = (overload * perSecond) / TAKEN_SHARE;
             const scenario = makeScenario({ boxes, perSecond, requestsPerSecond, seed });
-            const worstCount = countMostFromTold(runLimitedFleet(scenario));
-            expect(worstCount).toBeLessThanOrEqual(computeAllowed(perSecond));
+            const worstCount = countMaxInWindow(runLimitedFleet(scenario));
+            expect(worstCount).toBeLessThanOrEqual(computeMaxRequests(perSecond));
           },
         ),
         { seed: 42, numRuns: boxes > 100 ? 15 : 60 },
@@ -111,8 +111,8 @@
               requestsPerSecondOnceNamed,
               seed,
             });
-            const worstCount = countMostFromTold(runLimitedFleet(scenario));
-            expect(worstCount).toBeLessThanOrEqual(computeAllowed(perSecond));
+            const worstCount = countMaxInWindow(runLimitedFleet(scenario));
+            expect(worstCount).toBeLessThanOrEqual(computeMaxRequests(perSecond));
           },
         ),
         { seed: 43, numRuns: 60 },
@@ -129,8 +129,8 @@
         requestsPerSecondOnceNamed: 60,
         durationMs: 30_000,
       });
-      const worstCount = countMostFromTold(runLimitedFleet(scenario));
-      expect(worstCount).toBeLessThanOrEqual(computeAllowed(1.9));
+      const worstCount = countMaxInWindow(runLimitedFleet(scenario));
+      expect(worstCount).toBeLessThanOrEqual(computeMaxRequests(1.9));
     },
   );
 
@@ -170,7 +170,7 @@
       const arrivals = runLimitedFleet(scenario);
       const rate = computeRate(arrivals, SETTLED_MS, 60_000);
       expect(rate / 3).toBeGreaterThanOrEqual(0.65);
-      expect(countMostFromTold(arrivals)).toBeLessThanOrEqual(computeAllowed(3));
+      expect(countMaxInWindow(arrivals)).toBeLessThanOrEqual(computeMaxRequests(3));
     },
   );
 
--- a/packages/measure/src/benchRelayMain.ts
+++ b/packages/measure/src/benchRelayMain.ts
@@ -6,7 +6,11 @@
 import { fileURLToPath } from "node:url";
 import { boolean, command, flag, number, option, run } from "cmd-ts";
 import { EXAMPLE_KEY } from "@stairgauge/standins";
-import { createBoxBefore, spawnProcess, type SpawnedProcess } from "@stairgauge/testkit";
+import {
+  createBoxForEngine,
+  spawnProcess,
+  type SpawnedProcess,
+} from "@stairgauge/testkit";
 import { createLoadClient } from "./relayBench/loadClient.js";
 import { readUsage } from "./relayBench/processUsage.js";
 
@@ -135,7 +139,7 @@
     const [, address = ""] = await source.waitForLine(/engine on (\S+)/);
     const passThrough = spawnProcess([toPath("passThroughMain.js"), address]);
     const [, passAddress = ""] = await passThrough.waitForLine(/pass-through on (\S+)/);
-    const box = await createBoxBefore(address);
+    const box = await createBoxForEngine(address);
     const targets: readonly Target[] = [
       {
         name: "stairgauged",
--- a/packages/measure/src/slopes/probes.ts
+++ b/packages/measure/src/slopes/probes.ts
@@ -145,7 +145,7 @@
 const measureSession = (tokens: number): number => {
   const generation = "g" as GenerationId;
   const session = createStreamSession({
-    mintGeneration: () => generation,
+    createGenerationId: () => generation,
     deliversAtOnce: true,
     mayRunAgain: true,
   });
--- a/packages/membership/src/serverListWatcher.ts
+++ b/packages/membership/src/serverListWatcher.ts
@@ -39,7 +39,7 @@
   const { platform, clock } = options;
   let leaving: ReadonlySet<BackendServerName> = new Set();
 
-  const look = async () => {
+  const poll = async () => {
     const listed = await platform.boxes.read();
     if (listed.err) {
       options.onFailure(listed.val);
@@ -52,6 +52,6 @@
       if (!now.has(server)) options.onLeavingChange(server, false);
     leaving = now;
   };
-  const poller = createPoller({ clock, interval: options.interval, look });
-  return { look, ...poller };
+  const poller = createPoller({ clock, interval: options.interval, poll });
+  return { look: poll, ...poller };
 };
--- a/packages/relay/src/runGeneration.ts
+++ b/packages/relay/src/runGeneration.ts
@@ -37,7 +37,7 @@
   const { clock, random, engines, logger, metrics, dispatcher } = deps;
   const { call, index, sink } = request;
   const session = createStreamSession({
-    mintGeneration: () => random.nextId() as GenerationId,
+    createGenerationId: () => random.nextId() as GenerationId,
     deliversAtOnce: request.deliversAtOnce,
     mayRunAgain: request.mayRunAgain,
     ...(request.continuation ? { continuation: request.continuation } : {}),
@@ -225,7 +225,7 @@
         model: call.model,
         promptTokens: call.promptTokens,
         maxOutputTokens: call.maxTokens,
-        arrivedAt: arrivedAt,
+        arrivedAt,
       },
       {
         onPlaced: (server, chosenPriority) => {
--- a/packages/rollout/src/headWatcher.ts
+++ b/packages/rollout/src/headWatcher.ts
@@ -80,6 +80,6 @@
     return true;
   };
 
-  const poller = createPoller({ clock, interval: options.interval, look: checkHead });
+  const poller = createPoller({ clock, interval: options.interval, poll: checkHead });
   return { checkHead, ...poller };
 };
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -50,22 +50,25 @@
 export type { CrashingKind, CrashingServers } from "./usersPlatform/crashingServers.js";
 export { countSentWhileLeaving, LEAVING_MS } from "./usersPlatform/leavingRule.js";
 export type { LeavingArrival } from "./usersPlatform/leavingRule.js";
-export { startSignServers } from "./usersPlatform/signalServers.js";
+export { startSignalServers } from "./usersPlatform/signalServers.js";
 export type {
-  SignArrival,
-  SignServerKind,
-  SignServers,
-  LimitNaming,
-  SayingChoice,
+  SignalArrival,
+  SignalServerKind,
+  SignalServers,
+  LimitChoice,
+  SignalChoice,
   AnswerSignal,
 } from "./usersPlatform/signalServers.js";
 export {
-  computeAllowed,
-  countMostFromTold,
+  computeMaxRequests,
+  countMaxInWindow,
   LIMIT_CONTACT_MS,
 } from "./usersPlatform/limitRule.js";
 export type { CountedArrival } from "./usersPlatform/limitRule.js";
-export { countMostInRest, MAX_IN_REST } from "./usersPlatform/backoffRule.js";
-export type { RestArrival } from "./usersPlatform/backoffRule.js";
-export { formatWireAsk, startWireEngine } from "./usersPlatform/wireEngine.js";
-export type { WireAsk, WireBirthPlace } from "./usersPlatform/wireEngine.js";
+export {
+  countMaxInBackoff,
+  MAX_REQUESTS_IN_BACKOFF,
+} from "./usersPlatform/backoffRule.js";
+export type { BackoffArrival } from "./usersPlatform/backoffRule.js";
+export { formatStreamQuery, startWireEngine } from "./usersPlatform/wireEngine.js";
+export type { WireStreamOptions, StartTimeLocation } from "./usersPlatform/wireEngine.js";
--- a/packages/standins/src/usersPlatform/crashingServers.ts
+++ b/packages/standins/src/usersPlatform/crashingServers.ts
@@ -43,7 +43,7 @@
   /** Number of crashing requests that have reached a server. */
   countArrivals: () => number;
   /** Number of server crashes. */
-  countEnds: () => number;
+  countCrashes: () => number;
   /** Resets all connections once this many more plain requests have arrived; the servers keep running. Crashing requests don't count. */
   resetAfter: (requests: number) => void;
   close: () => void;
@@ -135,7 +135,7 @@
 
   return {
     countArrivals: () => arrivals,
-    countEnds: () => crashes,
+    countCrashes: () => crashes,
     resetAfter: (requests) => {
       requestsUntilReset = requests;
     },
--- a/packages/standins/src/usersPlatform/leavingRule.ts
+++ b/packages/standins/src/usersPlatform/leavingRule.ts
@@ -9,7 +9,7 @@
   /** When it reached the server. */
   at: number;
   /** The answer announces that the server is leaving. */
-  isTold: boolean;
+  hasSignal: boolean;
 }>;
 
 /** How long after a box has received such an answer its clients' new requests may still reach the server. */
@@ -18,8 +18,8 @@
 /** Counts the requests that reached the server although their clients sent them more than `LEAVING_MS` after the box's first such answer. */
 export const countSentWhileLeaving = (arrivals: readonly LeavingArrival[]): number => {
   const announcedAt = new Map<number, number>();
-  for (const { box, at, isTold } of arrivals)
-    if (isTold) announcedAt.set(box, Math.min(at, announcedAt.get(box) ?? Infinity));
+  for (const { box, at, hasSignal } of arrivals)
+    if (hasSignal) announcedAt.set(box, Math.min(at, announcedAt.get(box) ?? Infinity));
   const isLate = ({ box, sentAt }: LeavingArrival) =>
     sentAt > (announcedAt.get(box) ?? Infinity) + LEAVING_MS;
   return arrivals.filter(isLate).length;
--- a/packages/standins/src/usersPlatform/limitRule.ts
+++ b/packages/standins/src/usersPlatform/limitRule.ts
@@ -7,7 +7,7 @@
   /** When it reached the server. */
   at: number;
   /** The answer announces the limit. */
-  isTold: boolean;
+  hasSignal: boolean;
 }>;
 
 /** The limit must hold from this time after the server's first announcement on. */
@@ -23,7 +23,7 @@
 const MS_PER_S = 1_000;
 
 /** Returns how many requests a server with this limit may receive in one window. */
-export const computeAllowed = (perSecond: number): number =>
+export const computeMaxRequests = (perSecond: number): number =>
   Math.floor((perSecond * OVERAGE * WINDOW_MS) / MS_PER_S + SLACK);
 
 /** Returns for each box when its first request arrived that was answered with the limit. */
@@ -31,8 +31,8 @@
   arrivals: readonly CountedArrival[],
 ): ReadonlyMap<number, number> => {
   const announcedAt = new Map<number, number>();
-  for (const { box, at, isTold } of arrivals)
-    if (isTold && !announcedAt.has(box)) announcedAt.set(box, at);
+  for (const { box, at, hasSignal } of arrivals)
+    if (hasSignal && !announcedAt.has(box)) announcedAt.set(box, at);
   return announcedAt;
 };
 
@@ -41,7 +41,7 @@
  * the server first announced its limit count, and in them only requests of boxes that received the limit at least
  * `BOX_CONTACT_MS` before the window's end.
  */
-export const countMostFromTold = (arrivals: readonly CountedArrival[]): number => {
+export const countMaxInWindow = (arrivals: readonly CountedArrival[]): number => {
   const sorted = arrivals.toSorted((a, b) => a.at - b.at);
   const announcedAt = findAnnouncedAt(sorted);
   const firstAt = Math.min(...announcedAt.values());
--- a/packages/standins/src/usersPlatform/scriptedEngines.ts
+++ b/packages/standins/src/usersPlatform/scriptedEngines.ts
@@ -21,7 +21,7 @@
   /** Id of the last event that the client has; undefined for a stream from the start. */
   lastEventId: string | undefined;
   /** Stops listening at the engine's address; open connections stay. */
-  leaveAddress: () => void;
+  stopListening: () => void;
 }>;
 
 /** Answers one generation request. */
@@ -56,7 +56,7 @@
   const calls: ScriptedCall[] = [];
 
   const handleRequest = (
-    { id, leaveAddress }: Readonly<{ id: string; leaveAddress: () => void }>,
+    { id, stopListening }: Readonly<{ id: string; stopListening: () => void }>,
     socket: Socket,
     head: string,
   ) => {
@@ -72,7 +72,7 @@
       socket,
       requestId: findHeader(head, HEADER.requestId) ?? "",
       lastEventId: findHeader(head, HEADER.lastEventId),
-      leaveAddress,
+      stopListening,
     };
     const runScript = scripts[calls.length];
     calls.push(call);
@@ -82,7 +82,7 @@
 
   const start = async (id: string): Promise<ScriptedEngine> => {
     const server = createServer({ allowHalfOpen: true }, (socket) => {
-      const engine = { id, leaveAddress: () => server.close() };
+      const engine = { id, stopListening: () => server.close() };
       readWireRequests(socket, (head) => handleRequest(engine, socket, head));
     });
     await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
--- a/packages/standins/src/usersPlatform/signalServers.ts
+++ b/packages/standins/src/usersPlatform/signalServers.ts
@@ -15,53 +15,53 @@
 } from "./wireRequests.js";
 
 /** Returns the limit that a server announces in its answer number `answer`, counted from 0; undefined for none. */
-export type LimitNaming = (answer: number) => string | undefined;
+export type LimitChoice = (answer: number) => string | undefined;
 
 /** Signal in one answer, as whole header lines, and whether the answer refuses the request. */
 export type AnswerSignal = Readonly<{ lines: readonly string[]; isRefusal: boolean }>;
 
 /** Returns the signal of answer number `answer`, counted from 0. */
-export type SayingChoice = (answer: number) => AnswerSignal;
+export type SignalChoice = (answer: number) => AnswerSignal;
 
 /** Kind of the servers: engines, which stream, or plain servers. */
-export type SignServerKind = "engine" | "plain";
+export type SignalServerKind = "engine" | "plain";
 
-/** Options of `startSignServers`. */
+/** Options of `startSignalServers`. */
 export type SignalServersOptions = Readonly<{
-  kind: SignServerKind;
+  kind: SignalServerKind;
   count: number;
   /** Writes a server's directory entry. */
   putEntry: (id: string, address: string) => void;
 }>;
 
 /** A request as a server received it. */
-export type SignArrival = Readonly<{
+export type SignalArrival = Readonly<{
   /** Request id. */
   request: string;
   /** Time of arrival, in milliseconds of the process's monotonic clock. */
   at: number;
   /** The answer carries a signal. */
-  isTold: boolean;
+  hasSignal: boolean;
   isRefused: boolean;
 }>;
 
 /** The running servers; `server` is an index in the order of their ids. */
-export type SignServers = Readonly<{
+export type SignalServers = Readonly<{
   /** Sets the limit that the server announces from now on; it replaces any other signal. */
-  setNaming: (server: number, naming: LimitNaming) => void;
+  setLimit: (server: number, naming: LimitChoice) => void;
   /** Sets the signal that the server sends from now on. */
-  setSaying: (server: number, choose: SayingChoice) => void;
+  setSignal: (server: number, choose: SignalChoice) => void;
   /** Writes the server's entry again, unchanged. */
   putEntry: (server: number) => void;
   /** Requests in order of arrival. */
-  listArrivals: (server: number) => readonly SignArrival[];
+  listArrivals: (server: number) => readonly SignalArrival[];
   close: () => void;
 }>;
 
 const NO_SIGNAL: AnswerSignal = { lines: [], isRefusal: false };
 
 const toSignalChoice =
-  (chooseLimit: LimitNaming): SayingChoice =>
+  (chooseLimit: LimitChoice): SignalChoice =>
   (answer) => {
     const limit = chooseLimit(answer);
     if (limit === undefined) return NO_SIGNAL;
@@ -72,16 +72,16 @@
 const PLAIN_DURATION_MS = 20;
 
 const startServer = async (id: string, { kind, putEntry }: SignalServersOptions) => {
-  const arrivals: SignArrival[] = [];
-  let choose: SayingChoice = () => NO_SIGNAL;
+  const arrivals: SignalArrival[] = [];
+  let choose: SignalChoice = () => NO_SIGNAL;
   let answers = 0;
 
   const serve = (socket: Socket, head: string) => {
     const request = findHeader(head, HEADER.requestId) ?? "";
     const { lines: headerLines, isRefusal } = choose(answers);
     answers += 1;
-    const isTold = headerLines.length > 0;
-    arrivals.push({ request, at: performance.now(), isTold, isRefused: isRefusal });
+    const hasSignal = headerLines.length > 0;
+    arrivals.push({ request, at: performance.now(), hasSignal, isRefused: isRefusal });
     if (isRefusal) {
       sendRefusal({ socket, request, headerLines });
       return;
@@ -106,7 +106,7 @@
   const { address, close } = await listenOnLoopback(listener);
   putEntry(id, address);
   return {
-    setSaying: (next: SayingChoice) => {
+    setSaying: (next: SignalChoice) => {
       choose = next;
     },
     putEntry: () => putEntry(id, address),
@@ -116,14 +116,14 @@
 };
 
 /** Starts the servers on loopback; at first they send no signals. */
-export const startSignServers = async (
+export const startSignalServers = async (
   options: SignalServersOptions,
-): Promise<SignServers> => {
+): Promise<SignalServers> => {
   const ids = Array.from({ length: options.count }, (_, i) => `${options.kind}-${i}`);
   const servers = await Promise.all(ids.map((id) => startServer(id, options)));
   return {
-    setNaming: (server, naming) => servers[server]!.setSaying(toSignalChoice(naming)),
-    setSaying: (server, choose) => servers[server]!.setSaying(choose),
+    setLimit: (server, naming) => servers[server]!.setSaying(toSignalChoice(naming)),
+    setSignal: (server, choose) => servers[server]!.setSaying(choose),
     putEntry: (server) => servers[server]!.putEntry(),
     listArrivals: (server) => servers[server]!.listArrivals(),
     close: () => servers.forEach(({ close }) => close()),
--- a/packages/standins/src/usersPlatform/usersSite.ts
+++ b/packages/standins/src/usersPlatform/usersSite.ts
@@ -23,9 +23,9 @@
   /** Writes a configuration in which each server accepts this many connections. */
   limitConnections: (limit: number) => void;
   /** Writes a configuration in which each request may be sent to this many servers. */
-  allowServers: (count: number) => void;
+  setMaxAttempts: (count: number) => void;
   /** Writes a configuration in which all routes, or the workspace, may use only these regions. */
-  keepToRegions: (who: "routes" | "workspace", regions: readonly string[]) => void;
+  limitRegions: (who: "routes" | "workspace", regions: readonly string[]) => void;
   /** Writes the entry of an engine that was started elsewhere. `born` is its start time in Unix milliseconds; without it the entry has none. */
   putEngine: (
     id: string,
@@ -34,7 +34,7 @@
     born?: number,
   ) => void;
   /** Writes any value as a server's entry, also an invalid one. */
-  putOddEntry: (id: string, entry: unknown) => void;
+  putRawEntry: (id: string, entry: unknown) => void;
   /** Writes the entry of a plain server that was started elsewhere; `born` as for engines. */
   putService: (id: string, address: string, born?: number) => void;
   /** Writes a server's entry with another data hall. */
@@ -182,9 +182,9 @@
       putConfiguration({
         services: CONFIGURATION.services.map((spec) => ({ ...spec, maxConnections })),
       }),
-    allowServers: (maxAttempts) =>
+    setMaxAttempts: (maxAttempts) =>
       putConfiguration({ routes: ROUTES.map((route) => ({ ...route, maxAttempts })) }),
-    keepToRegions: (who, allowedRegions) =>
+    limitRegions: (who, allowedRegions) =>
       putConfiguration(
         who === "routes"
           ? { routes: ROUTES.map((route) => ({ ...route, allowedRegions })) }
@@ -196,7 +196,7 @@
       putEntry({ id, address }, state === "leaving" ? STATE_LEAVING : "ready", true, {
         born,
       }),
-    putOddEntry: (id, entry) => store.put(TABLE.servers, id, entry),
+    putRawEntry: (id, entry) => store.put(TABLE.servers, id, entry),
     putService: (id, address, born) =>
       putEntry({ id, address }, "ready", false, { born }),
     putHall: (server, hall) => putEntry(server, "ready", undefined, { hall }),
--- a/packages/standins/src/usersPlatform/usersStore.ts
+++ b/packages/standins/src/usersPlatform/usersStore.ts
@@ -32,7 +32,7 @@
     /** Carries out the next `count` writes without ever answering them. */
     loseAnswers: (count: number) => void;
     /** Answers the next `count` reads of a whole table with the state before the last change. */
-    giveStaleReads: (count: number) => void;
+    serveStaleReads: (count: number) => void;
     /** Keys of the rows that are not deleted. */
     listKeys: (table: string) => readonly string[];
     /** Number of calls received. */
@@ -41,7 +41,7 @@
     /** Restores the store from a backup: closes all connections, discards later changes, assigns their revisions again and starts a new era. */
     restore: (copy: StoreCopy) => void;
     /** Advances the revision by `count` without a change, as writes to other tables would. */
-    spendVersions: (count: number) => void;
+    advanceRevision: (count: number) => void;
     /** Sets the era in the header of all answers; undefined sends no header. */
     setEra: (era: string | undefined) => void;
   }>;
@@ -194,7 +194,7 @@
     loseAnswers: (count) => {
       answersToLose = count;
     },
-    giveStaleReads: (count) => {
+    serveStaleReads: (count) => {
       staleReads = count;
     },
     listKeys: (table) =>
@@ -216,7 +216,7 @@
       pendingCalls.clear();
       server.closeAllConnections();
     },
-    spendVersions: (count) => {
+    advanceRevision: (count) => {
       revision += count;
     },
     setEra: (era) => {
--- a/packages/standins/src/usersPlatform/wireEngine.ts
+++ b/packages/standins/src/usersPlatform/wireEngine.ts
@@ -15,7 +15,7 @@
 } from "./wireRequests.js";
 
 /** Where an engine reports its start time besides its load report: in a header or the body of its health answer, or nowhere else. */
-export type WireBirthPlace = "header" | "body" | "report";
+export type StartTimeLocation = "header" | "body" | "report";
 
 /** How the end of an answer's body is marked. */
 export type WireFraming = "connection" | "chunks" | "length";
@@ -27,7 +27,7 @@
 export type WireEnd = "close" | "reset" | "finish";
 
 /** Options of one stream. Requests carry them as query parameters, under these names. */
-export type WireAsk = Readonly<{
+export type WireStreamOptions = Readonly<{
   /** Number of events of the whole stream. */
   events: number;
   framing: WireFraming;
@@ -47,7 +47,7 @@
   /** Whether new streams are held as their requests specify; otherwise all streams are sent whole, in chunks. */
   holds: boolean;
   /** Start time in Unix milliseconds, and where it is reported. Undefined for servers of older platforms, which report none. */
-  birth?: Readonly<{ at: number; saidIn: WireBirthPlace }> | undefined;
+  startTime?: Readonly<{ at: number; reportedIn: StartTimeLocation }> | undefined;
   /** Called when a stream is held and all its bytes are handed to the kernel. */
   onHeld: (request: string) => void;
 }>;
@@ -59,7 +59,7 @@
   /** Releases all held streams; each ends as its options say. */
   releaseHeld: () => void;
   /** Stops listening; open connections stay. */
-  leaveAddress: () => void;
+  stopListening: () => void;
 }>;
 
 const EVENTS_BEFORE_CUT = 2;
@@ -97,7 +97,7 @@
 };
 
 /** Formats stream options as the query of a request. */
-export const formatWireAsk = (streamOptions: WireAsk): string =>
+export const formatStreamQuery = (streamOptions: WireStreamOptions): string =>
   new URLSearchParams(
     Object.entries(streamOptions).map(([name, value]): [string, string] => [
       name,
@@ -105,7 +105,7 @@
     ]),
   ).toString();
 
-const parseStreamOptions = (head: string): WireAsk => {
+const parseStreamOptions = (head: string): WireStreamOptions => {
   const target = head.split(" ", 2)[1] ?? "";
   const query = new URLSearchParams(target.split("?")[1]);
   return {
@@ -121,7 +121,7 @@
 const listEvents = (
   head: string,
   request: string,
-  streamOptions: WireAsk,
+  streamOptions: WireStreamOptions,
 ): readonly string[] => {
   const from = Number(findHeader(head, HEADER.lastEventId) ?? -1) + 1;
   return Array.from({ length: Math.max(0, streamOptions.events - from) }, (_, at) => {
@@ -135,7 +135,7 @@
   if (framing === "connection") socket.end();
 };
 
-const endStream = (socket: Socket, { end, framing }: WireAsk) => {
+const endStream = (socket: Socket, { end, framing }: WireStreamOptions) => {
   if (end === "finish") finishStream(socket, framing);
   else if (end === "reset") socket.resetAndDestroy();
   else socket.end();
@@ -145,8 +145,8 @@
 export const startWireEngine = async (
   options: WireEngineOptions,
 ): Promise<WireEngine> => {
-  const { id, holds, birth, onHeld } = options;
-  const bornField = birth ? { born: birth.at } : {};
+  const { id, holds, startTime, onHeld } = options;
+  const bornField = startTime ? { born: startTime.at } : {};
   const held = new Map<string, () => void>();
 
   const startRun = (socket: Socket, head: string) => {
@@ -183,8 +183,9 @@
     const [method = "", path = ""] = head.split(" ", 2);
     const expected = findHeader(head, HEADER.expectInstance);
     const instanceHeader = [`${HEADER.instance}: ${id}`];
-    const bornHeader = birth?.saidIn === "header" ? [`${HEADER.born}: ${birth.at}`] : [];
-    const healthBody = birth?.saidIn === "body" ? bornField : {};
+    const bornHeader =
+      startTime?.reportedIn === "header" ? [`${HEADER.born}: ${startTime.at}`] : [];
+    const healthBody = startTime?.reportedIn === "body" ? bornField : {};
     if (path === SERVER_PATH.report)
       sendWireJson(socket, { ...IDLE_REPORT, ...bornField });
     else if (path === HEALTH_PATH)
@@ -210,6 +211,6 @@
       for (const end of held.values()) end();
       held.clear();
     },
-    leaveAddress: () => server.close(),
+    stopListening: () => server.close(),
   };
 };
--- a/packages/streams/src/streamSession.test.ts
+++ b/packages/streams/src/streamSession.test.ts
@@ -15,7 +15,7 @@
 const createSession = (options: Partial<SessionOptions> = {}) => {
   let generationCount = 0;
   return createStreamSession({
-    mintGeneration: () => `g${++generationCount}` as GenerationId,
+    createGenerationId: () => `g${++generationCount}` as GenerationId,
     deliversAtOnce: true,
     mayRunAgain: true,
     ...options,
--- a/packages/streams/src/streamSession.ts
+++ b/packages/streams/src/streamSession.ts
@@ -36,7 +36,7 @@
 /** Options of a session. */
 export type SessionOptions = Readonly<{
   /** Generates the id of each attempt's generation. */
-  mintGeneration: () => GenerationId;
+  createGenerationId: () => GenerationId;
   /** Whether delivered tokens are sent to the caller at once, so that the answer can't be restarted after the first. */
   deliversAtOnce: boolean;
   /** Whether a new attempt is allowed after one that may have run. */
@@ -198,7 +198,7 @@
 
   const handlePlaced = (server: BackendServerName, now: Ms): readonly SessionAction[] => {
     attempts += 1;
-    source = { server, generation: options.mintGeneration() };
+    source = { server, generation: options.createGenerationId() };
     return [openLink({ kind: "start" }, 0 as Ms, now)];
   };
 
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,7 +1,7 @@
 /** Test helpers: sites of separate processes, a streaming client and a fake engine. */
 export { spawnProcess } from "./spawnProcess.js";
 export type { SpawnedProcess } from "./spawnProcess.js";
-export { createBoxBefore, createProcessSite, spawnStandin } from "./processSite.js";
+export { createBoxForEngine, createProcessSite, spawnStandin } from "./processSite.js";
 export type {
   BoxProcess,
   ProcessSite,
@@ -9,6 +9,6 @@
   StandinProcess,
 } from "./processSite.js";
 export { readStream } from "./readStream.js";
-export type { AnswerEvent, CallerAsk, CallerView } from "./readStream.js";
+export type { AnswerEvent, StreamRequest, StreamView } from "./readStream.js";
 export { createFakeEngine } from "./fakeEngine.js";
 export type { FakeEngine, FakeLink } from "./fakeEngine.js";
--- a/packages/testkit/src/processSite.ts
+++ b/packages/testkit/src/processSite.ts
@@ -156,7 +156,7 @@
 };
 
 /** Starts one box that forwards to an engine that is already running, for benchmarks. */
-export const createBoxBefore = async (
+export const createBoxForEngine = async (
   engine: string,
 ): Promise<BoxProcess & Readonly<{ destroy: () => Promise<void> }>> => {
   const folder = mkdtempSync(join(tmpdir(), "stairgauge-bench-"));
--- a/packages/testkit/src/readStream.ts
+++ b/packages/testkit/src/readStream.ts
@@ -5,7 +5,7 @@
 export type AnswerEvent = Readonly<{ id: string | undefined; data: string }>;
 
 /** What the client received. */
-export type CallerView = Readonly<{
+export type StreamView = Readonly<{
   status: number;
   headers: Readonly<Record<string, string | string[] | undefined>>;
   events: readonly AnswerEvent[];
@@ -24,7 +24,7 @@
 }>;
 
 /** A streamed chat request. */
-export type CallerAsk = Readonly<{
+export type StreamRequest = Readonly<{
   url: string;
   /** API key. */
   key: string;
@@ -62,7 +62,7 @@
 };
 
 /** Sends a streamed chat request and reads the answer until it ends or breaks off. */
-export const readStream = async (options: CallerAsk): Promise<CallerView> => {
+export const readStream = async (options: StreamRequest): Promise<StreamView> => {
   const response = await request(`${options.url}/v1/chat/completions`, {
     method: "POST",
     headers: {
