--- a/apps/box/src/askHubs.ts
+++ b/apps/box/src/askHubs.ts
@@ -26,8 +26,8 @@
   /** Whether this box may send new requests to a server, whatever a hub says. */
   mayTakeWork: (server: BackendServer) => boolean;
   /** Servers that have asked this box for a backoff; hubs have no record of them. */
-  listResting: () => readonly ServerId[];
-  onPassedOver: (hub: BoxName) => void;
+  listBackingOff: () => readonly ServerId[];
+  onEjected: (hub: BoxName) => void;
 }>;
 
 /** Requests to the hubs. */
@@ -70,7 +70,7 @@
 
 /** Creates the client of the hubs. */
 export const createHubs = (options: HubsOptions): Hubs => {
-  const { clock, own, links, findServer, onPassedOver: onEjected } = options;
+  const { clock, own, links, findServer, onEjected } = options;
   const asker = createHubAsker({ clock, links, onEjected });
 
   /**
@@ -82,7 +82,7 @@
     if (answer.kind === "no_server") {
       // The request excluded servers in backoff, so only this box can decide why none is left
       // and until when.
-      if (options.listResting().length > 0) return undefined;
+      if (options.listBackingOff().length > 0) return undefined;
       return { kind: "decided", decision: answer, by };
     }
     const server = findServer(answer.server);
@@ -96,7 +96,7 @@
       ask: async (request, signal) => {
         const reply = await asker.ask({
           call: links.askPlace,
-          question: buildQuestion(own, request, options.listResting()),
+          question: buildQuestion(own, request, options.listBackingOff()),
           limit: computeLimit(request),
           signal,
         });
--- a/apps/box/src/createBox.ts
+++ b/apps/box/src/createBox.ts
@@ -204,8 +204,8 @@
     links,
     findServer: (id) => directory.find(id),
     mayTakeWork: (server) => placer.mayTakeWork(server),
-    listResting: backoffs.listBackingOff,
-    onPassedOver: (hub) => log.writeDecision("hub_passed_over", { peer: hub }),
+    listBackingOff: backoffs.listBackingOff,
+    onEjected: (hub) => log.writeDecision("hub_passed_over", { peer: hub }),
   });
   const waitQueue = createWaitQueue(clock);
   let peerAddress = toHostAndPort(settings.listen.peers);
--- a/apps/box/src/createSignals.ts
+++ b/apps/box/src/createSignals.ts
@@ -66,7 +66,7 @@
     onEvent: observeBackoffs({
       log,
       metrics,
-      listResting: () => backoffs.listBackingOff(),
+      listBackingOff: () => backoffs.listBackingOff(),
     }),
   });
   const reportUnreadable = createUnreadableReporter(log);
--- a/apps/box/src/leavingServers.test.ts
+++ b/apps/box/src/leavingServers.test.ts
@@ -79,7 +79,7 @@
     async (_, signalCase, entry) => {
       const site = await startSignalSite(signalCase);
       ENTRY[entry](site);
-      site.setSaying(announceLeaving, 0);
+      site.setSignal(announceLeaving, 0);
       const sent = await site.sendFor(SENT_MS);
       const arrivals = listWithSending(site.servers.listArrivals(0), sent);
       expect(arrivals.length).toBeGreaterThan(0);
@@ -96,7 +96,7 @@
 
   it("gets no more requests if it announces it in refusals", async () => {
     const site = await startSignalSite(REPEATABLE);
-    site.setSaying(refuseAsLeaving, 0);
+    site.setSignal(refuseAsLeaving, 0);
     const sent = await site.sendFor(SENT_MS);
     const arrivals = listWithSending(site.servers.listArrivals(0), sent);
     expect(countSentWhileLeaving(arrivals)).toBe(0);
@@ -106,7 +106,7 @@
 
   it("gets no more requests if two servers leave, nor does the other", async () => {
     const site = await startSignalSite(REPEATABLE);
-    site.setSaying(announceLeaving, 0, 1);
+    site.setSignal(announceLeaving, 0, 1);
     const sent = await site.sendFor(SENT_MS);
     for (const server of [0, 1]) {
       const arrivals = listWithSending(site.servers.listArrivals(server), sent);
@@ -119,7 +119,7 @@
 
   it("has requests refused at once, as not run and with Retry-After, if all servers leave", async () => {
     const site = await startSignalSite(PLAIN);
-    site.setSaying(announceLeaving, 0, 1, 2, 3);
+    site.setSignal(announceLeaving, 0, 1, 2, 3);
     const sent = await site.sendFor(SENT_MS);
     const reached = [0, 1, 2, 3].flatMap((server) => site.servers.listArrivals(server));
     expect(countSentWhileLeaving(listWithSending(reached, sent))).toBe(0);
@@ -137,7 +137,7 @@
     "gets no more requests from any box, whether the server or another box announced it",
     async () => {
       const site = await startSignalSite({ ...PLAIN, boxes: 14 });
-      site.setSaying(announceLeaving, 0);
+      site.setSignal(announceLeaving, 0);
       const sent = await site.sendFor(3_000);
       const arrivals = listWithSending(site.servers.listArrivals(0), sent);
       const firstAt = Math.min(...arrivals.map(({ at }) => at));
@@ -148,8 +148,8 @@
   );
 
   it("gets no requests from a box that starts later and has only read its entry", async () => {
-    const { site, servers, setSaying, sendFor } = await startSignalSite(PLAIN);
-    setSaying(announceLeaving, 0);
+    const { site, servers, setSignal, sendFor } = await startSignalSite(PLAIN);
+    setSignal(announceLeaving, 0);
     await sendFor(500);
     const countBefore = servers.listArrivals(0).length;
     expect(countBefore).toBeGreaterThan(0);
@@ -172,7 +172,7 @@
 
   it("gets no requests from a box that reads its entry again some time later", async () => {
     const site = await startSignalSite(PLAIN);
-    site.setSaying(announceLeaving, 0);
+    site.setSignal(announceLeaving, 0);
     const before = await site.sendFor(500);
     await waitMs(LEAVING_MS);
     site.servers.putEntry(0);
--- a/apps/box/src/observers.ts
+++ b/apps/box/src/observers.ts
@@ -146,11 +146,11 @@
   ({
     log,
     metrics,
-    listResting,
-  }: Sinks & Readonly<{ listResting: () => readonly ServerId[] }>) =>
+    listBackingOff,
+  }: Sinks & Readonly<{ listBackingOff: () => readonly ServerId[] }>) =>
   (event: BackoffEvent): void => {
     const { kind, ...fields } = event;
-    metrics.restingServers.set(listResting().length);
+    metrics.restingServers.set(listBackingOff().length);
     log.writeNotice(`server_rest_${kind}`, roundNumbers(fields));
   };
 
--- a/apps/box/src/restingServers.test.ts
+++ b/apps/box/src/restingServers.test.ts
@@ -71,8 +71,8 @@
   ])(
     "gets hardly any requests from that box meanwhile, and the others serve: %s",
     async (_, { load, seconds, choose = askForBackoff, resting = [0] }) => {
-      const { servers, fleet, sendFor, setSaying } = await startSignalSite(load);
-      setSaying(choose(seconds), ...resting);
+      const { servers, fleet, sendFor, setSignal } = await startSignalSite(load);
+      setSignal(choose(seconds), ...resting);
       const sent = await sendFor(SENT_MS);
       for (const server of resting) {
         const arrivals = listCounted(servers.listArrivals(server));
@@ -88,8 +88,8 @@
   );
 
   it("has requests refused at once, as not run and with Retry-After, if all four servers ask for one", async () => {
-    const { servers, fleet, sendFor, setSaying } = await startSignalSite(REPEATABLE);
-    setSaying(askForBackoff(3), ...ALL);
+    const { servers, fleet, sendFor, setSignal } = await startSignalSite(REPEATABLE);
+    setSignal(askForBackoff(3), ...ALL);
     const sent = await sendFor(SENT_MS);
     for (const server of ALL) {
       const arrivals = listCounted(servers.listArrivals(server));
@@ -114,8 +114,8 @@
   });
 
   it("gets requests again after it, one per box first", async () => {
-    const { servers, fleet, sendFor, setSaying } = await startSignalSite(PLAIN);
-    setSaying((answer) => (answer === 0 ? askForBackoff(1)(answer) : NOTHING), 0);
+    const { servers, fleet, sendFor, setSignal } = await startSignalSite(PLAIN);
+    setSignal((answer) => (answer === 0 ? askForBackoff(1)(answer) : NOTHING), 0);
     const sent = await sendFor(4_000);
     const arrivals = listCounted(servers.listArrivals(0));
     const [{ box, at } = { box: 0, at: 0 }] = arrivals;
@@ -126,8 +126,8 @@
   });
 
   it("doesn't determine when a client retries", async () => {
-    const { sendFor, setSaying } = await startSignalSite({ ...PLAIN, perSecond: 20 });
-    setSaying(askForBackoff(30), 0);
+    const { sendFor, setSignal } = await startSignalSite({ ...PLAIN, perSecond: 20 });
+    setSignal(askForBackoff(30), 0);
     const answers = await Promise.all((await sendFor(1_000)).map(({ answer }) => answer));
     for (const { status, headers } of answers)
       if (status === REFUSED) expect(Number(headers["retry-after"])).toBeLessThan(1);
--- a/apps/box/src/serverLimitChanges.test.ts
+++ b/apps/box/src/serverLimitChanges.test.ts
@@ -32,14 +32,14 @@
 
 describe("a limit that changes", () => {
   it("is kept although three times as much came before it was announced", async () => {
-    const { servers, setNaming, sendFor } = await startSignalSite({
+    const { servers, setLimit, sendFor } = await startSignalSite({
       path: "/once/",
       kind: "plain",
       boxes: 7,
       perSecond: 24,
     });
     const before = await sendFor(2_000);
-    setNaming(() => String(PER_SECOND), 0);
+    setLimit(() => String(PER_SECOND), 0);
     const sent = await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
     const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
     expect(most).toBeLessThanOrEqual(computeMaxRequests(PER_SECOND));
@@ -47,8 +47,8 @@
   });
 
   it("is kept while a new box starts beside the others", async () => {
-    const { servers, setNaming, sendFor, addBox } = await startSignalSite(THREE_BOXES);
-    setNaming(() => String(PER_SECOND), 0);
+    const { servers, setLimit, sendFor, addBox } = await startSignalSite(THREE_BOXES);
+    setLimit(() => String(PER_SECOND), 0);
     await sendFor(LIMIT_CONTACT_MS + 1_000);
     const { lines } = await addBox();
     await sendFor(COUNTED_MS);
@@ -59,8 +59,8 @@
   });
 
   it("is kept if it is announced in some answers only, and others contain an invalid limit", async () => {
-    const { servers, fleet, setNaming, sendFor } = await startSignalSite(THREE_BOXES);
-    setNaming((answer) => [String(PER_SECOND), undefined, "1.7, 1.9"][answer % 3], 0);
+    const { servers, fleet, setLimit, sendFor } = await startSignalSite(THREE_BOXES);
+    setLimit((answer) => [String(PER_SECOND), undefined, "1.7, 1.9"][answer % 3], 0);
     await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
     const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
     expect(most).toBeLessThanOrEqual(computeMaxRequests(PER_SECOND));
@@ -70,10 +70,10 @@
   });
 
   it("ends once it is no longer announced, and all boxes log that", async () => {
-    const { servers, fleet, setNaming, sendFor } = await startSignalSite(THREE_BOXES);
-    setNaming(() => "3", 0);
+    const { servers, fleet, setLimit, sendFor } = await startSignalSite(THREE_BOXES);
+    setLimit(() => "3", 0);
     await sendFor(LIMIT_CONTACT_MS);
-    setNaming(() => undefined, 0);
+    setLimit(() => undefined, 0);
     await sendFor(4_000);
     const before = servers.listArrivals(0).length;
     const sent = await sendFor(2_000);
--- a/apps/box/src/serverLimits.test.ts
+++ b/apps/box/src/serverLimits.test.ts
@@ -37,8 +37,8 @@
       0.5,
     ],
   ])("gets no more requests than it allows: %s", async (_, signalCase, perSecond) => {
-    const { servers, setNaming, sendFor } = await startSignalSite(signalCase);
-    setNaming(() => String(perSecond), 0);
+    const { servers, setLimit, sendFor } = await startSignalSite(signalCase);
+    setLimit(() => String(perSecond), 0);
     const sent = await sendFor(LIMIT_CONTACT_MS + COUNTED_MS);
     const most = countMaxInWindow(listCounted(servers.listArrivals(0)));
     expect(most).toBeLessThanOrEqual(computeMaxRequests(perSecond));
--- a/apps/box/src/serverLimitsOfAll.test.ts
+++ b/apps/box/src/serverLimitsOfAll.test.ts
@@ -33,8 +33,8 @@
   ])(
     "get what their limits allow, and other requests are refused as not run: %s",
     async (_, signalCase) => {
-      const { servers, fleet, setNaming, sendFor } = await startSignalSite(signalCase);
-      setNaming(() => String(PER_SECOND), ...ALL);
+      const { servers, fleet, setLimit, sendFor } = await startSignalSite(signalCase);
+      setLimit(() => String(PER_SECOND), ...ALL);
       const first = await sendFor(LIMIT_CONTACT_MS);
       const sent = await sendFor(COUNTED_MS);
       for (const server of ALL) {
--- a/apps/box/src/signalSite.testkit.ts
+++ b/apps/box/src/signalSite.testkit.ts
@@ -135,9 +135,9 @@
   /** Sends requests to the boxes in turn for a duration in ms. */
   sendFor: (duration: number) => Promise<readonly SentRequest[]>;
   /** Makes the servers announce this limit. */
-  setNaming: (naming: LimitChoice, ...which: readonly number[]) => void;
+  setLimit: (naming: LimitChoice, ...which: readonly number[]) => void;
   /** Makes the servers send these signals in their answers. */
-  setSaying: (choose: SignalChoice, ...which: readonly number[]) => void;
+  setSignal: (choose: SignalChoice, ...which: readonly number[]) => void;
   addBox: () => Promise<FleetBox>;
 }>;
 
@@ -185,10 +185,10 @@
     }
     return sent;
   };
-  const setNaming: SignalSite["setNaming"] = (naming, ...which) => {
+  const setLimit: SignalSite["setLimit"] = (naming, ...which) => {
     for (const server of which) servers.setLimit(server, naming);
   };
-  const setSaying: SignalSite["setSaying"] = (choose, ...which) => {
+  const setSignal: SignalSite["setSignal"] = (choose, ...which) => {
     for (const server of which) servers.setSignal(server, choose);
   };
   const addBox = async () => {
@@ -196,5 +196,5 @@
     fleet.push(box);
     return box;
   };
-  return { site, servers, fleet, sendFor, setNaming, setSaying, addBox };
+  return { site, servers, fleet, sendFor, setLimit, setSignal, addBox };
 };
--- a/packages/fleet/src/placeDuringBackoff.test.ts
+++ b/packages/fleet/src/placeDuringBackoff.test.ts
@@ -33,16 +33,16 @@
 
 describe("createPlacer with servers that asked for a backoff", () => {
   it("places nothing on them, and returns how many were skipped", () => {
-    const { placer, rests, chooseMany } = setUp();
-    rests.begin(FIRST, BACKOFF);
+    const { placer, backoffs, chooseMany } = setUp();
+    backoffs.begin(FIRST, BACKOFF);
     expect(chooseMany()).toEqual(new Set([SECOND, THIRD]));
     expect(placer.choose(SERVICE, PLAIN, NONE)).toMatchObject({ resting: 1 });
   });
 
   it("refuses at once if all remaining servers asked for a backoff, with the time until the first one ends", () => {
-    const { placer, rests } = setUp();
-    rests.begin(FIRST, 8_000 as Ms);
-    rests.begin(SECOND, BACKOFF);
+    const { placer, backoffs } = setUp();
+    backoffs.begin(FIRST, 8_000 as Ms);
+    backoffs.begin(SECOND, BACKOFF);
     const decision = placer.choose(SERVICE, PLAIN, new Set([THIRD]));
     expect(decision).toMatchObject({ kind: "no_server", reason: "servers_resting" });
     const retryAfter = decision.kind === "no_server" ? decision.retryAfter : undefined;
@@ -51,8 +51,8 @@
   });
 
   it("refuses with servers_limited if all other servers have reached their limits", () => {
-    const { placer, rests, limits } = setUp();
-    rests.begin(FIRST, BACKOFF);
+    const { placer, backoffs, limits } = setUp();
+    backoffs.begin(FIRST, BACKOFF);
     for (const id of [SECOND, THIRD])
       limits.applySignal(id, { kind: "named", perSecond: 1 }, 20 as Ms);
     // A box without a position in the list of boxes has no part of a limit.
@@ -62,14 +62,14 @@
   });
 
   it("ignores backoffs when it chooses for another box", () => {
-    const { placer, rests, chooseMany } = setUp();
-    rests.begin(FIRST, BACKOFF);
+    const { placer, backoffs, chooseMany } = setUp();
+    backoffs.begin(FIRST, BACKOFF);
     expect(chooseMany(placer.chooseForOther)).toEqual(new Set([FIRST, SECOND, THIRD]));
   });
 
   it("sends no run there, and doesn't list it as a target of moves", () => {
-    const { placer, rests, find } = setUp();
-    rests.begin(FIRST, BACKOFF);
+    const { placer, backoffs, find } = setUp();
+    backoffs.begin(FIRST, BACKOFF);
     expect(placer.mayTakeWork(find(FIRST))).toBe(false);
     expect(placer.mayTakeRuns(find(FIRST))).toBe(false);
     expect(placer.mayTakeRuns(find(SECOND))).toBe(true);
@@ -77,8 +77,8 @@
   });
 
   it("allows two calls in all during a backoff, status requests and continuations together", () => {
-    const { placer, rests, find } = setUp();
-    rests.begin(FIRST, BACKOFF);
+    const { placer, backoffs, find } = setUp();
+    backoffs.begin(FIRST, BACKOFF);
     expect(placer.takeAsk(find(FIRST))).toBe(true);
     expect(placer.takeContinuation(find(FIRST))).toBe(true);
     expect(placer.takeAsk(find(FIRST))).toBe(false);
@@ -87,8 +87,8 @@
   });
 
   it("allows one request at a time after a backoff", () => {
-    const { clock, placer, rests, find, chooseMany } = setUp();
-    rests.begin(FIRST, BACKOFF);
+    const { clock, placer, backoffs, find, chooseMany } = setUp();
+    backoffs.begin(FIRST, BACKOFF);
     clock.advance((BACKOFF * 1.25) as Ms);
     expect(chooseMany()).toContain(FIRST);
     const head = { id: undefined } as Parameters<typeof placer.place>[1];
--- a/packages/fleet/src/placeHub.test.ts
+++ b/packages/fleet/src/placeHub.test.ts
@@ -41,7 +41,7 @@
 
 /** Creates a hub with some engines of 34,000 tokens each. */
 const setUp = (engines: number, warmUp?: WarmUp) => {
-  const { clock, book: registry, placer } = createTestPlacer(engines, warmUp);
+  const { clock, registry, placer } = createTestPlacer(engines, warmUp);
   const waitQueue = createWaitQueue(clock);
   const hub = createPlaceHub({ clock, registry, placer, waitQueue });
   const { signal } = new AbortController();
@@ -60,7 +60,7 @@
   };
   const countAt = (id: string) => registry.listPeerRuns(id as ServerId).length;
   const advance = (duration: number) => advanceSettled(clock, duration as Ms);
-  return { clock, book: registry, placer, ask, placeOnAllEngines, countAt, advance };
+  return { clock, registry, placer, ask, placeOnAllEngines, countAt, advance };
 };
 
 describe("createPlaceHub", () => {
@@ -85,7 +85,7 @@
   });
 
   it("stops placing on an engine that resets its requests, although it looks the emptiest", async () => {
-    const { clock, book, placer, ask, advance } = setUp(40);
+    const { clock, registry, placer, ask, advance } = setUp(40);
     const [gap, answerTime, duration] = [26, 40, 7_000];
     // Without reports of the resets, 192 of 269 requests are placed there.
     let lost = 0;
@@ -95,11 +95,11 @@
       if (placed.kind !== "placed") continue;
       const { id } = placed.server.entry;
       const placedRun = { server: id, run: { ...asked.run } };
-      book.putPeerRun(asked.box, placedRun);
+      registry.putPeerRun(asked.box, placedRun);
       if (id === "e7") {
         lost += 1;
         clock.setTimer(answerTime as Ms, () => {
-          book.removePeerRun(asked.box, id, asked.run.id);
+          registry.removePeerRun(asked.box, id, asked.run.id);
           placer.handleBroken(id);
         });
       }
@@ -121,14 +121,14 @@
   });
 
   it("drops a place that was not confirmed, and keeps one that was", async () => {
-    const { book, ask, advance, countAt } = setUp(1);
+    const { registry, ask, advance, countAt } = setUp(1);
     await ask(makeQuestion("gone", "a"));
     const taken = makeQuestion("there", "b");
     await ask(taken);
-    book.putPeerRun("there", { server: "e0" as ServerId, run: { ...taken.run } });
+    registry.putPeerRun("there", { server: "e0" as ServerId, run: { ...taken.run } });
     expect(countAt("e0")).toBe(2);
     await advance(600);
-    expect(book.listPeerRuns("e0" as ServerId).map(({ id }) => id)).toEqual(["b"]);
+    expect(registry.listPeerRuns("e0" as ServerId).map(({ id }) => id)).toEqual(["b"]);
   });
 
   it("answers no_room while all engines are full, but places if the question is urgent", async () => {
@@ -142,7 +142,7 @@
   });
 
   it("gives free capacity to the more urgent of two boxes' requests in whichever order they came, and then to the other", async () => {
-    const { book, ask, placeOnAllEngines, advance } = setUp(2);
+    const { registry, ask, placeOnAllEngines, advance } = setUp(2);
     await placeOnAllEngines();
     const order: string[] = [];
     const wait = { kind: "within", wait: 700 as Ms } as const;
@@ -150,10 +150,10 @@
     void ask(makeQuestion("two", "urgent", wait, 0)).then(() => order.push("urgent"));
     await advance(100);
     expect(order).toEqual([]);
-    book.removePeerRun(
+    registry.removePeerRun(
       "filler",
       "e0" as ServerId,
-      book.listPeerRuns("e0" as ServerId)[0]!.id,
+      registry.listPeerRuns("e0" as ServerId)[0]!.id,
     );
     await advance(60);
     expect(order).toEqual(["urgent"]);
@@ -165,7 +165,7 @@
   });
 
   it("gives no place to a request whose client has left", async () => {
-    const { book, ask, placeOnAllEngines, countAt, advance } = setUp(1);
+    const { registry, ask, placeOnAllEngines, countAt, advance } = setUp(1);
     await placeOnAllEngines();
     const before = countAt("e0");
     const left = new AbortController();
@@ -174,6 +174,6 @@
     left.abort();
     await advance(2_000);
     expect(countAt("e0")).toBe(before);
-    expect(book.listPeersAt("e0" as ServerId)).toEqual(["filler"]);
+    expect(registry.listPeersAt("e0" as ServerId)).toEqual(["filler"]);
   });
 });
--- a/packages/fleet/src/placing.testkit.ts
+++ b/packages/fleet/src/placing.testkit.ts
@@ -96,5 +96,5 @@
     isAlive: () => Promise.resolve(true),
     onBroken: () => undefined,
   });
-  return { clock, directory, book: registry, rests: backoffs, limits, placer };
+  return { clock, directory, registry, backoffs, limits, placer };
 };
--- a/packages/forwarding/src/guardCall.test.ts
+++ b/packages/forwarding/src/guardCall.test.ts
@@ -36,7 +36,7 @@
         clock,
         guard,
         crashDetector: { check },
-        placer: { countAboard: () => 2 } as never,
+        placer: { countRequestsAt: () => 2 } as never,
       },
       request: REQUEST,
       countEvents: () => events,
--- a/packages/placement/src/chooseServer.test.ts
+++ b/packages/placement/src/chooseServer.test.ts
@@ -59,7 +59,7 @@
   registry: ReturnType<typeof createLoadRegistry>,
   demand = GENERATION as Parameters<typeof chooseServer>[0]["demand"],
   candidates = [a, b],
-  { rivals: expectedCompetitors = 0, random = createSeededRandom(4) } = {},
+  { expectedCompetitors = 0, random = createSeededRandom(4) } = {},
 ) => {
   const decision = chooseServer({
     candidates,
@@ -134,9 +134,9 @@
     for (const { entry } of engines.slice(1))
       for (const run of ["x", "y"]) book.addRun(entry.id, makeRun(`${entry.id} ${run}`));
     const random = createSeededRandom(9);
-    const countNew = (rivals: number) =>
+    const countNew = (expectedCompetitors: number) =>
       Array.from({ length: 200 }, () =>
-        choose(book, GENERATION, engines, { rivals, random }),
+        choose(book, GENERATION, engines, { expectedCompetitors, random }),
       ).filter((id) => id === "new").length;
     expect(countNew(0)).toBe(200);
     expect(countNew(0.3)).toBe(200);
--- a/packages/standins/src/usersPlatform/signalServers.ts
+++ b/packages/standins/src/usersPlatform/signalServers.ts
@@ -106,7 +106,7 @@
   const { address, close } = await listenOnLoopback(listener);
   putEntry(id, address);
   return {
-    setSaying: (next: SignalChoice) => {
+    setSignal: (next: SignalChoice) => {
       choose = next;
     },
     putEntry: () => putEntry(id, address),
@@ -122,8 +122,8 @@
   const ids = Array.from({ length: options.count }, (_, i) => `${options.kind}-${i}`);
   const servers = await Promise.all(ids.map((id) => startServer(id, options)));
   return {
-    setLimit: (server, naming) => servers[server]!.setSaying(toSignalChoice(naming)),
-    setSignal: (server, choose) => servers[server]!.setSaying(choose),
+    setLimit: (server, naming) => servers[server]!.setSignal(toSignalChoice(naming)),
+    setSignal: (server, choose) => servers[server]!.setSignal(choose),
     putEntry: (server) => servers[server]!.putEntry(),
     listArrivals: (server) => servers[server]!.listArrivals(),
     close: () => servers.forEach(({ close }) => close()),
--- a/packages/storefeed/src/restoreGuard.test.ts
+++ b/packages/storefeed/src/restoreGuard.test.ts
@@ -72,7 +72,7 @@
     listRows,
     pass,
     reports,
-    takeUnsettled: applyUnsettled,
+    applyUnsettled,
     listUnsettled,
   };
 };
@@ -189,7 +189,7 @@
     const unsettled = other.listUnsettled();
 
     const started = setUp();
-    started.takeUnsettled(unsettled);
+    started.applyUnsettled(unsettled);
     started.readWhole(RESTORED, ...restoredRows);
     expect(started.listRows()).toEqual(["a 5", "keep 5", "same 5"]);
     started.pass(WAIT);
@@ -197,13 +197,13 @@
   });
 
   it("ignores unsettled rows of another box if the row was written again or the era differs", () => {
-    const { readWhole, takeUnsettled, listRows } = setUp();
+    const { readWhole, applyUnsettled, listRows } = setUp();
     const written = makeRow("gone", 1, makeRevision(2, 31));
     readWhole(makeRevision(2, 31), written);
     const withheld = [makeRow("gone", 1, makeRevision(2, 20))];
-    takeUnsettled({ era: 2, kept: [], withheld });
+    applyUnsettled({ era: 2, kept: [], withheld });
     expect(listRows()).toEqual(["gone 1"]);
-    takeUnsettled({ era: 1, kept: [makeRow("a", 1, makeRevision(0, 9))], withheld: [] });
+    applyUnsettled({ era: 1, kept: [makeRow("a", 1, makeRevision(0, 9))], withheld: [] });
     expect(listRows()).toEqual(["gone 1"]);
   });
 
