--- a/packages/peers/src/peers.test.ts
+++ b/packages/peers/src/peers.test.ts
@@ -144,7 +144,7 @@
   const port = await server.listen({ host: "127.0.0.1", port: 0 });
   cleanups.push(server.close);
   return {
-    book: registry,
+    registry,
     lost,
     notify: server.notify,
     notifyAll: server.notifyAll,
@@ -191,37 +191,37 @@
     onMessage: () => undefined,
   });
   cleanups.push(links.close);
-  return { book: registry, links, reporter, leaving, notices, senders };
+  return { registry, links, reporter, leaving, notices, senders };
 };
 
 describe("boxes that report their runs to each other", () => {
   it("sends all runs when a link comes up, then each change, and its runs are dropped when the link closes", async () => {
     const remote = await openServer();
     const local = openReporter();
-    local.book.addRun(server, makeRun("before"));
+    local.registry.addRun(server, makeRun("before"));
     local.links.setPeers([remote.peer, { ...remote.peer, box: "a" as BoxName }]);
     expect(local.links.count()).toBe(1);
-    await waitFor(() => remote.book.listPeerRuns(server).length === 1);
-    local.book.addRun(server, makeRun("after"));
-    await waitFor(() => remote.book.listPeerRuns(server).length === 2);
-    local.book.removeRun(server, "before");
-    local.book.markBegun(server, "after");
-    await waitFor(() => remote.book.listPeerRuns(server).some((run) => run.hasBegun));
-    expect(remote.book.listPeerRuns(server).map(({ id }) => id)).toEqual(["after"]);
+    await waitFor(() => remote.registry.listPeerRuns(server).length === 1);
+    local.registry.addRun(server, makeRun("after"));
+    await waitFor(() => remote.registry.listPeerRuns(server).length === 2);
+    local.registry.removeRun(server, "before");
+    local.registry.markBegun(server, "after");
+    await waitFor(() => remote.registry.listPeerRuns(server).some((run) => run.hasBegun));
+    expect(remote.registry.listPeerRuns(server).map(({ id }) => id)).toEqual(["after"]);
     local.links.close();
     await waitFor(() => remote.lost.length === 1);
-    expect(remote.book.listPeerRuns(server)).toEqual([]);
+    expect(remote.registry.listPeerRuns(server)).toEqual([]);
   });
 
   it("sends only the last change of a run that changes twice within a batch", async () => {
     const remote = await openServer();
     const local = openReporter();
     local.links.setPeers([remote.peer]);
-    local.book.addRun(server, makeRun("short"));
-    local.book.removeRun(server, "short");
-    local.book.addRun(server, makeRun("stays"));
-    await waitFor(() => remote.book.listPeerRuns(server).length > 0);
-    expect(remote.book.listPeerRuns(server).map(({ id }) => id)).toEqual(["stays"]);
+    local.registry.addRun(server, makeRun("short"));
+    local.registry.removeRun(server, "short");
+    local.registry.addRun(server, makeRun("stays"));
+    await waitFor(() => remote.registry.listPeerRuns(server).length > 0);
+    expect(remote.registry.listPeerRuns(server).map(({ id }) => id)).toEqual(["stays"]);
   });
 });
 
@@ -247,14 +247,14 @@
       listeners.map(({ peer }, i) => ({ ...peer, box: `b${i}` as BoxName })),
     );
     const run = makeRun("r");
-    local.book.addRun(server, run);
+    local.registry.addRun(server, run);
     await waitFor(() =>
-      listeners.every(({ book }) => book.listPeerRuns(server).length === 1),
+      listeners.every(({ registry }) => registry.listPeerRuns(server).length === 1),
     );
     local.reporter.reportLeaving(sharedLeaving);
-    local.book.removeRun(server, run.id);
+    local.registry.removeRun(server, run.id);
     await waitFor(() =>
-      listeners.every(({ book }) => book.listPeerRuns(server).length === 0),
+      listeners.every(({ registry }) => registry.listPeerRuns(server).length === 0),
     );
     expect(listeners.map(({ leaving }) => leaving.length).toSorted()).toEqual([
       0, 0, 0, 1, 1, 1,
@@ -314,8 +314,8 @@
     local.links.setPeers([remote.peer]);
     await waitFor(() => local.links.listConnected().length === 1);
     local.reporter.reportBroken(server);
-    local.book.addRun(server, makeRun("r"));
-    local.book.markBegun(server, "r");
+    local.registry.addRun(server, makeRun("r"));
+    local.registry.markBegun(server, "r");
     await waitFor(() => remote.outcomes.length === 2);
     expect(remote.outcomes).toEqual([`broken ${server}`, `answered ${server}`]);
   });
@@ -323,11 +323,11 @@
   it("receive its notice of a leaving server", async () => {
     const remote = await openServer();
     const local = openReporter();
-    local.book.addRun(server, makeRun("r"));
+    local.registry.addRun(server, makeRun("r"));
     local.links.setPeers([remote.peer]);
-    await waitFor(() => remote.book.listPeersAt(server).length === 1);
+    await waitFor(() => remote.registry.listPeersAt(server).length === 1);
     const notice = makeNotice({ leaving: [{ server, evidence: "concluded" as const }] });
-    remote.notify(remote.book.listPeersAt(server) as BoxName[], notice);
+    remote.notify(remote.registry.listPeersAt(server) as BoxName[], notice);
     await waitFor(() => local.notices.length === 1);
     expect(local.notices).toEqual([notice]);
   });
@@ -430,17 +430,17 @@
     const local = openReporter();
     const address = { host: "127.0.0.1", port: proxy.port };
     local.links.setPeers([{ ...remote.peer, address }]);
-    local.book.addRun(server, makeRun("before"));
-    await waitFor(() => remote.book.listPeerRuns(server).length === 1);
+    local.registry.addRun(server, makeRun("before"));
+    await waitFor(() => remote.registry.listPeerRuns(server).length === 1);
     proxy.stopAll();
-    local.book.addRun(server, makeRun("unsent"));
+    local.registry.addRun(server, makeRun("unsent"));
     const cancellation = new AbortController();
     const question = { kind: "whole", table: "t", atLeast: INITIAL_REVISION } as const;
     const unanswered = local.links.ask(remote.peer.box, question, cancellation.signal);
     cancellation.abort();
     expect((await unanswered).val).toMatchObject({ kind: "failed" });
     local.links.reopen(remote.peer.box);
-    await waitFor(() => remote.book.listPeerRuns(server).length === 2);
+    await waitFor(() => remote.registry.listPeerRuns(server).length === 2);
     const { signal } = new AbortController();
     expect((await local.links.ask(remote.peer.box, question, signal)).val).toEqual({
       kind: "not_known",
